--- a/dewbeam/src/gateway/crash_blame.cpp
+++ b/dewbeam/src/gateway/crash_blame.cpp
@@ -13,27 +13,33 @@
 
 namespace {
 
-/// A process that ends may close its connections a moment before its listener.
-constexpr time_span second_look = std::chrono::milliseconds(250);
-/// After an upstream was found silent its neighbours may be found so too, as in a cut.
-constexpr time_span silence_settles = std::chrono::milliseconds(1500);
-/// One that has been silent for longer says nothing of a cut of now.
-constexpr time_span silence_is_new_for = std::chrono::seconds(5);
-/// What is sent on waits no longer for what became of the upstream before.
+/// Delay before the second probe. A process that exits may close its connections shortly before
+/// its listener, so the first probe may still be accepted.
+constexpr time_span second_probe_delay = std::chrono::milliseconds(250);
+/// How long after an upstream was found unresponsive the decision is delayed: its neighbours may be
+/// found unresponsive within this time too, as in a network partition.
+constexpr time_span unresponsive_settle_time = std::chrono::milliseconds(1500);
+/// An upstream that has been unresponsive for longer is no evidence of a current partition.
+constexpr time_span recent_unresponsive_window = std::chrono::seconds(5);
+/// Maximum delay of a retry while the gateway determines whether the previous upstream crashed.
 constexpr time_span longest_hold = std::chrono::milliseconds(100);
-/// An upstream that is only slow answers something else meanwhile.
-constexpr time_span silence_span = std::chrono::milliseconds(200);
-/// What became of an upstream is known by then, mostly; its content's turn is kept until then.
-constexpr time_span judgement_span = std::chrono::milliseconds(500);
-/// Longer than registries take to find an upstream silent, and its successor to announce itself.
-constexpr time_span losses_kept_for = std::chrono::seconds(12);
-constexpr time_span judged_kept_for = std::chrono::minutes(10);
-/// Answers may be read by so much later than the end of another connection that came after them.
-constexpr time_span reordering = std::chrono::milliseconds(50);
-/// A neighbour that was heard this long ago shows that the way to its domain is good.
-constexpr time_span neighbour_span = std::chrono::seconds(1);
-
-upstream_life life_of(const sent_attempt& sent)
+/// Delay before an upstream that has not answered is reported. An upstream that is only slow
+/// answers another request within this time.
+constexpr time_span unanswered_check_delay = std::chrono::milliseconds(200);
+/// By then it is usually known whether an upstream crashed. The exclusive grant of the content is
+/// kept until then.
+constexpr time_span crash_decision_time = std::chrono::milliseconds(500);
+/// Longer than the registries take to find an upstream unresponsive and its successor takes to
+/// announce itself.
+constexpr time_span loss_retention = std::chrono::seconds(12);
+constexpr time_span reported_loss_retention = std::chrono::minutes(10);
+/// An answer may be read this much later than the end of another connection, although the answer
+/// arrived first.
+constexpr time_span answer_reordering_time = std::chrono::milliseconds(50);
+/// A neighbour that answered within this time shows that its failure domain is reachable.
+constexpr time_span neighbour_contact_window = std::chrono::seconds(1);
+
+upstream_incarnation incarnation_of(const sent_attempt& sent)
 {
     return {sent.m_upstream, sent.m_incarnation};
 }
@@ -62,62 +68,62 @@
     perform(state, state.m_pools.merge_suspicion(subject.m_pool, subject.m_record, now), now);
 }
 
-/// A good run that is known here speaks against each death that is news.
-void weigh(gateway_state& state, const quarantine::suspicion& news, time_point now)
+/// Offsets each new crash report with a successful run of the same content that is known here.
+void offset_crash_reports(gateway_state& state, const quarantine::suspicion& update, time_point now)
 {
-    for (const auto& item : news.m_deaths) {
+    for (const auto& item : update.m_deaths) {
         {
             const std::lock_guard lock(state.m_crashes.m_mutex);
-            if (!spend_good_run(state.m_crashes.m_good_runs, news.m_content)) {
+            if (!spend_good_run(state.m_crashes.m_good_runs, update.m_content)) {
                 return;
             }
         }
         if (item.m_is_outweighed) {
-            continue;  // by the good runs of another gateway, of which this one is a part
+            continue;  // another gateway offset it, with good runs that include this one
         }
-        if (const auto record = state.m_feed.report_good_run(news.m_content, now)) {
+        if (const auto record = state.m_feed.report_good_run(update.m_content, now)) {
             merge(state, *record, now);
         }
     }
 }
 
-/// Tells all gateways how the upstream of a lost attempt fared.
-void report(gateway_state& state, const upstream_life& where, const lost_attempt& loss,
-            const quarantine::death& how, const char* reason, time_point now)
+/// Reports to all gateways what happened to the upstream of a lost attempt.
+void report(gateway_state& state, const upstream_incarnation& where, const lost_attempt& loss,
+            const quarantine::death& crash, const char* reason, time_point now)
 {
     registrar::noted_suspicion subject{loss.m_pool, {}};
     subject.m_record.m_content = loss.m_content;
-    subject.m_record.m_deaths.push_back(how);
+    subject.m_record.m_deaths.push_back(crash);
     if (!state.m_feed.report(subject)) {
         return;
     }
     log_suspicion(state, "content_suspected", subject, where.m_upstream.value(), reason, now);
     state.m_metrics.content_suspected(reason);
     merge(state, subject, now);
-    weigh(state, subject.m_record, now);
+    offset_crash_reports(state, subject.m_record, now);
 }
 
-quarantine::death death_of(const upstream_life& where, const lost_attempt& loss)
+quarantine::death crash_report_of(const upstream_incarnation& where, const lost_attempt& loss)
 {
-    quarantine::death how{where.m_upstream, where.m_incarnation, loss.m_lost_at, false};
-    how.m_order = loss.m_order;
-    return how;
+    quarantine::death crash{where.m_upstream, where.m_incarnation, loss.m_lost_at, false};
+    crash.m_order = loss.m_order;
+    return crash;
 }
 
-void report_all(gateway_state& state, const upstream_life& where,
+void report_all(gateway_state& state, const upstream_incarnation& where,
                 const std::vector<lost_attempt>& losses, bool is_doubtful, const char* reason,
                 time_point now)
 {
     for (const auto& loss : losses) {
-        auto how = death_of(where, loss);
-        how.m_is_doubtful = is_doubtful;
-        report(state, where, loss, how, reason, now);
+        auto crash = crash_report_of(where, loss);
+        crash.m_is_doubtful = is_doubtful;
+        report(state, where, loss, crash, reason, now);
     }
 }
 
-/// The life is over, so that all that was lost in it is suspected.
-void confirm_end(gateway_state& state, const upstream_life& where, const char* reason,
-                 time_point now)
+/// The process has ended, so every content whose attempt was lost on it becomes a suspect.
+void confirm_crash(gateway_state& state, const upstream_incarnation& where, const char* reason,
+                   time_point now)
 {
     std::vector<lost_attempt> losses;
     {
@@ -127,22 +133,23 @@
     report_all(state, where, losses, false, reason, now);
 }
 
-/// An upstream that was held for ended goes on in the same life.
-void take_back(gateway_state& state, const upstream_life& where, time_point now)
+/// Retracts the reports on an upstream that was presumed crashed but continues in the same
+/// incarnation.
+void take_back(gateway_state& state, const upstream_incarnation& where, time_point now)
 {
-    const auto seen_at = now - reordering;
+    const auto seen_at = now - answer_reordering_time;
     std::vector<lost_attempt> judged;
     {
         const std::lock_guard lock(state.m_crashes.m_mutex);
         forget_losses(state.m_crashes.m_losses, where, seen_at);
-        judged = take_losses(state.m_crashes.m_judged, where);
+        judged = take_losses(state.m_crashes.m_reported_losses, where);
     }
     for (const auto& loss : judged) {
-        auto how = death_of(where, loss);
-        how.m_is_outweighed = true;
+        auto crash = crash_report_of(where, loss);
+        crash.m_is_outweighed = true;
         registrar::noted_suspicion subject{loss.m_pool, {}};
         subject.m_record.m_content = loss.m_content;
-        subject.m_record.m_deaths.push_back(how);
+        subject.m_record.m_deaths.push_back(crash);
         if (state.m_feed.report(subject)) {
             log_suspicion(state, "suspicion_taken_back", subject, where.m_upstream.value(),
                           "upstream_goes_on", now);
@@ -151,14 +158,15 @@
     }
 }
 
-/// Whether what is silent is the upstream, rather than the way to it or all of its service.
-bool are_neighbours_heard(gateway_state& state, const sent_attempt& sent, time_point now)
+/// Whether only the upstream is unresponsive, rather than the network path to it or its whole
+/// service.
+bool have_neighbours_answered(gateway_state& state, const sent_attempt& sent, time_point now)
 {
-    return state.m_upstreams.was_neighbour_heard(sent.m_upstream,
-                                                 std::max(sent.m_sent_at, now - neighbour_span));
+    return state.m_upstreams.has_neighbour_answered(
+        sent.m_upstream, std::max(sent.m_sent_at, now - neighbour_contact_window));
 }
 
-std::vector<lost_attempt> losses_in(gateway_state& state, const upstream_life& where)
+std::vector<lost_attempt> losses_in(gateway_state& state, const upstream_incarnation& where)
 {
     const std::lock_guard lock(state.m_crashes.m_mutex);
     const auto place = state.m_crashes.m_losses.m_losses.find(where);
@@ -166,15 +174,16 @@
                                                             : place->second;
 }
 
-/// Remembers what may have to be taken back, and tells it.
-void report_silence(gateway_state& state, const upstream_life& where, bool is_doubtful,
-                    const char* reason, time_point now)
+/// Reports the losses on an unresponsive upstream and records them, since the reports may have to
+/// be retracted.
+void report_unresponsive(gateway_state& state, const upstream_incarnation& where, bool is_doubtful,
+                         const char* reason, time_point now)
 {
     const auto losses = losses_in(state, where);
     {
         const std::lock_guard lock(state.m_crashes.m_mutex);
         for (const auto& loss : losses) {
-            note_loss(state.m_crashes.m_judged, where, loss);
+            note_loss(state.m_crashes.m_reported_losses, where, loss);
         }
         if (!is_doubtful) {
             take_losses(state.m_crashes.m_losses, where);
@@ -187,16 +196,16 @@
                time_point now)
 {
     const std::lock_guard lock(state.m_crashes.m_mutex);
-    note_loss(state.m_crashes.m_losses, life_of(sent), loss_of(request, sent, now));
+    note_loss(state.m_crashes.m_losses, incarnation_of(sent), loss_of(request, sent, now));
 }
 
-/// Looks once more at an upstream that accepted a connection after one of its connections broke.
-void look_again(gateway_state& state, const upstream_life& where, const endpoint& address,
-                time_point accepted_at, const std::function<void()>& then)
+/// Probes again an upstream that accepted a connection after one of its connections broke.
+void probe_again(gateway_state& state, const upstream_incarnation& where, const endpoint& address,
+                 time_point accepted_at, const std::function<void()>& then)
 {
     const auto look = [&state, where, accepted_at, then](probe_result result) {
         if (result == probe_result::refused) {
-            confirm_end(state, where, "connection_refused", program::now());
+            confirm_crash(state, where, "connection_refused", program::now());
         }
         else if (result == probe_result::accepted) {
             const std::lock_guard lock(state.m_crashes.m_mutex);
@@ -204,63 +213,66 @@
         }
         then();
     };
-    state.m_crashes.m_probe.wait(
-        second_look, [&state, address, look] { state.m_crashes.m_probe.ask(address, look); });
+    state.m_crashes.m_probe.wait(second_probe_delay, [&state, address, look] {
+        state.m_crashes.m_probe.ask(address, look);
+    });
 }
 
-/// What an upstream's host says after one of its connections broke. The request goes on by `then`:
-/// at once, but a suspect only when it is known whether the upstream ended.
-void judge_answer(gateway_state& state, const sent_attempt& sent, const endpoint& address,
-                  probe_result result, bool is_suspect, const std::function<void()>& then)
+/// Evaluates the probe of an upstream after one of its connections broke. `then` continues the
+/// request: immediately, but for a suspect only once it is known whether the upstream crashed.
+void handle_probe_result(gateway_state& state, const sent_attempt& sent, const endpoint& address,
+                         probe_result result, bool is_suspect, const std::function<void()>& then)
 {
     const auto now = program::now();
-    const auto where = life_of(sent);
+    const auto where = incarnation_of(sent);
     switch (result) {
         case probe_result::refused:
-            confirm_end(state, where, "connection_refused", now);
+            confirm_crash(state, where, "connection_refused", now);
             break;
         case probe_result::accepted:
-            look_again(state, where, address, now, then);
+            probe_again(state, where, address, now, then);
             if (is_suspect) {
                 return;
             }
             break;
         case probe_result::no_answer:
-            if (are_neighbours_heard(state, sent, now)) {
-                report_silence(state, where, true, "no_connection", now);
+            if (have_neighbours_answered(state, sent, now)) {
+                report_unresponsive(state, where, true, "no_connection", now);
             }
             break;
     }
     then();
 }
 
-/// An upstream that is still silent gets less, and what it was sent is doubted.
-void doubt_if_silent(gateway_state& state, const sent_attempt& sent, const std::string& pool,
-                     const endpoint& address, time_point now)
+/// If the upstream still has not answered, records a failure against it, so that it is sent fewer
+/// requests, and reports its lost contents as doubtful suspects. Both happen only if its neighbours
+/// answer. In either case the upstream is probed, and a refused connection confirms a crash.
+void report_if_unanswered(gateway_state& state, const sent_attempt& sent, const std::string& pool,
+                          const endpoint& address, time_point now)
 {
     if (state.m_upstreams.heard_at(sent.m_upstream) >= sent.m_sent_at) {
         return;
     }
-    if (are_neighbours_heard(state, sent, now)) {
-        report_silence(state, life_of(sent), true, "no_answer", now);
+    if (have_neighbours_answered(state, sent, now)) {
+        report_unresponsive(state, incarnation_of(sent), true, "no_answer", now);
         state.m_pools.note_result(pool, sent.m_upstream, dispatch::upstream_result::failed, now);
     }
     state.m_crashes.m_probe.ask(address, [&state, sent](probe_result result) {
         if (result == probe_result::refused) {
-            confirm_end(state, life_of(sent), "connection_refused", program::now());
+            confirm_crash(state, incarnation_of(sent), "connection_refused", program::now());
         }
     });
 }
 
-/// Suspected contents whose last run here ended a moment ago, so that it isn't known yet how.
-std::vector<fingerprint> contents_under_judgement(gateway_state& state, time_point now)
+/// Suspected contents whose last run here was lost so recently that its outcome is not known yet.
+std::vector<fingerprint> contents_awaiting_outcome(gateway_state& state, time_point now)
 {
     std::set<fingerprint> recent;
     {
         const std::lock_guard lock(state.m_crashes.m_mutex);
-        for (const auto& [life, losses] : state.m_crashes.m_losses.m_losses) {
+        for (const auto& [process, losses] : state.m_crashes.m_losses.m_losses) {
             for (const auto& loss : losses) {
-                if (now < loss.m_lost_at + judgement_span) {
+                if (now < loss.m_lost_at + crash_decision_time) {
                     recent.insert(loss.m_content);
                 }
             }
@@ -273,8 +285,8 @@
 
 }  // namespace
 
-void judge_broken_attempt(gateway_state& state, const request_pointer& request,
-                          const sent_attempt& sent, std::function<void()> then, time_point now)
+void handle_broken_attempt(gateway_state& state, const request_pointer& request,
+                           const sent_attempt& sent, std::function<void()> then, time_point now)
 {
     const auto target = state.m_upstreams.find(sent.m_upstream);
     if (!target.m_client || target.m_is_leaving) {
@@ -288,17 +300,18 @@
             then();
         }
     };
-    // A suspect that went on at once would end the next upstream before the last end is known.
+    // A suspect that is retried immediately could crash the next upstream before the last crash is
+    // known.
     const bool is_suspect = state.m_feed.is_suspected(request->known().m_content, now);
-    state.m_crashes.m_probe.wait(is_suspect ? judgement_span : longest_hold, go_on);
+    state.m_crashes.m_probe.wait(is_suspect ? crash_decision_time : longest_hold, go_on);
     state.m_crashes.m_probe.ask(target.m_address, [&state, sent, address = target.m_address,
                                                    is_suspect, go_on](probe_result result) {
-        judge_answer(state, sent, address, result, is_suspect, go_on);
+        handle_probe_result(state, sent, address, result, is_suspect, go_on);
     });
 }
 
-void judge_silent_attempt(gateway_state& state, const request_pointer& request,
-                          const sent_attempt& sent, time_point now)
+void check_unanswered_attempt(gateway_state& state, const request_pointer& request,
+                              const sent_attempt& sent, time_point now)
 {
     const auto target = state.m_upstreams.find(sent.m_upstream);
     if (!target.m_client || target.m_is_leaving ||
@@ -308,8 +321,9 @@
     note_loss(state, request, sent, now);
     state.m_pools.suspend_turn(request->known().m_pool, request->known().m_content);
     state.m_crashes.m_probe.wait(
-        silence_span, [&state, sent, pool = request->known().m_pool, address = target.m_address] {
-            doubt_if_silent(state, sent, pool, address, program::now());
+        unanswered_check_delay,
+        [&state, sent, pool = request->known().m_pool, address = target.m_address] {
+            report_if_unanswered(state, sent, pool, address, program::now());
         });
 }
 
@@ -326,24 +340,24 @@
     note_good_run(state.m_crashes.m_good_runs, content);
 }
 
-void note_sign_of_life(gateway_state& state, const sent_attempt& sent, time_point now)
+void record_upstream_answer(gateway_state& state, const sent_attempt& sent, time_point now)
 {
     state.m_upstreams.note_heard(sent.m_upstream, now);
     bool is_doubted = false;
     {
         const std::lock_guard lock(state.m_crashes.m_mutex);
-        is_doubted = state.m_crashes.m_judged.m_losses.contains(life_of(sent)) ||
-                     state.m_crashes.m_losses.m_losses.contains(life_of(sent));
+        is_doubted = state.m_crashes.m_reported_losses.m_losses.contains(incarnation_of(sent)) ||
+                     state.m_crashes.m_losses.m_losses.contains(incarnation_of(sent));
     }
     if (is_doubted) {
-        take_back(state, life_of(sent), now);
+        take_back(state, incarnation_of(sent), now);
     }
 }
 
-void judge_change(gateway_state& state, const registry::record& changed, time_point now)
+void handle_upstream_change(gateway_state& state, const registry::record& changed, time_point now)
 {
     const auto& known = changed.m_announced;
-    const upstream_life current{known.m_name, known.m_incarnation};
+    const upstream_incarnation current{known.m_name, known.m_incarnation};
     if (known.m_state != registry::upstream_state::ready) {
         const std::lock_guard lock(state.m_crashes.m_mutex);
         forget_upstream(state.m_crashes.m_losses, known.m_name);
@@ -351,42 +365,44 @@
     }
     if (changed.m_is_silent) {
         const std::lock_guard lock(state.m_crashes.m_mutex);
-        if (state.m_crashes.m_silent.try_emplace(current, now).second) {
-            state.m_crashes.m_to_judge.insert(current);
+        if (state.m_crashes.m_unresponsive_since.try_emplace(current, now).second) {
+            state.m_crashes.m_unreported_incarnations.insert(current);
         }
         return;
     }
     {
         const std::lock_guard lock(state.m_crashes.m_mutex);
-        state.m_crashes.m_silent.erase(current);
-        state.m_crashes.m_to_judge.erase(current);
+        state.m_crashes.m_unresponsive_since.erase(current);
+        state.m_crashes.m_unreported_incarnations.erase(current);
     }
-    if (state.m_upstreams.is_silent(known.m_name)) {
+    if (state.m_upstreams.is_unresponsive(known.m_name)) {
         take_back(state, current, now);
     }
-    std::vector<upstream_life> over;
+    std::vector<upstream_incarnation> ended;
     {
         const std::lock_guard lock(state.m_crashes.m_mutex);
-        over = earlier_lives(state.m_crashes.m_losses, current);
+        ended = earlier_incarnations(state.m_crashes.m_losses, current);
     }
     for (const auto& other : state.m_upstreams.at_address(known.m_address)) {
         if (other.m_upstream != known.m_name) {
-            over.push_back(other);
+            ended.push_back(other);
         }
     }
-    for (const auto& life : over) {
-        confirm_end(state, life, "replaced", now);
+    for (const auto& process : ended) {
+        confirm_crash(state, process, "replaced", now);
     }
 }
 
-void take_suspicion(gateway_state& state, const registrar::noted_suspicion& heard, time_point now)
+void apply_suspicion(gateway_state& state, const registrar::noted_suspicion& received,
+                     time_point now)
 {
-    log_suspicion(state, "suspicion_heard", heard, "", "registry", now);
-    merge(state, heard, now);
-    weigh(state, heard.m_record, now);
+    log_suspicion(state, "suspicion_heard", received, "", "registry", now);
+    merge(state, received, now);
+    offset_crash_reports(state, received.m_record, now);
 }
 
-void take_turns(gateway_state& state, const std::vector<fingerprint>& granted, time_point now)
+void apply_exclusive_grants(gateway_state& state, const std::vector<fingerprint>& granted,
+                            time_point now)
 {
     {
         const std::lock_guard lock(state.m_crashes.m_mutex);
@@ -396,49 +412,51 @@
         state.m_crashes.m_granted = granted.size();
     }
     auto usable = granted;
-    for (const auto content : contents_under_judgement(state, now)) {
+    for (const auto content : contents_awaiting_outcome(state, now)) {
         std::erase(usable, content);
     }
     perform(state, state.m_pools.set_turns(usable, false, now), now);
 }
 
-void ask_for_turns(gateway_state& state, time_point now)
+void request_exclusive_grants(gateway_state& state, time_point now)
 {
     auto wanted = state.m_pools.wanted_turns();
-    const auto kept = contents_under_judgement(state, now);
+    const auto kept = contents_awaiting_outcome(state, now);
     wanted.insert(wanted.end(), kept.begin(), kept.end());
     state.m_feed.set_wanted_turns(std::move(wanted));
-    const bool is_cut_off = state.m_feed.heard(now) == 0;
+    const bool has_no_registry = state.m_feed.heard(now) == 0;
     {
         const std::lock_guard lock(state.m_crashes.m_mutex);
-        if (!is_cut_off && !state.m_crashes.m_is_cut_off) {
+        if (!has_no_registry && !state.m_crashes.m_has_no_registry) {
             return;
         }
-        state.m_crashes.m_is_cut_off = is_cut_off;
+        state.m_crashes.m_has_no_registry = has_no_registry;
     }
-    perform(state, state.m_pools.set_turns({}, is_cut_off, now), now);
+    perform(state, state.m_pools.set_turns({}, has_no_registry, now), now);
 }
 
-void judge_silent_upstreams(gateway_state& state, time_point now)
+void report_unresponsive_upstreams(gateway_state& state, time_point now)
 {
-    std::vector<upstream_life> due;
-    std::set<upstream_id> fell_silent;
+    std::vector<upstream_incarnation> due;
+    std::set<upstream_id> recently_unresponsive;
     {
         const std::lock_guard lock(state.m_crashes.m_mutex);
-        expire(state.m_crashes.m_losses, losses_kept_for, now);
-        expire(state.m_crashes.m_judged, judged_kept_for, now);
-        for (const auto& [life, since] : state.m_crashes.m_silent) {
-            fell_silent.insert(life.m_upstream);
-            if (since + silence_settles <= now && state.m_crashes.m_to_judge.erase(life) > 0) {
-                due.push_back(life);
+        expire(state.m_crashes.m_losses, loss_retention, now);
+        expire(state.m_crashes.m_reported_losses, reported_loss_retention, now);
+        for (const auto& [process, since] : state.m_crashes.m_unresponsive_since) {
+            recently_unresponsive.insert(process.m_upstream);
+            if (since + unresponsive_settle_time <= now &&
+                state.m_crashes.m_unreported_incarnations.erase(process) > 0) {
+                due.push_back(process);
             }
         }
-        std::erase_if(state.m_crashes.m_silent,
-                      [&](const auto& item) { return item.second + silence_is_new_for <= now; });
+        std::erase_if(state.m_crashes.m_unresponsive_since, [&](const auto& item) {
+            return item.second + recent_unresponsive_window <= now;
+        });
     }
-    for (const auto& life : due) {
-        if (state.m_upstreams.do_neighbours_announce(life.m_upstream, fell_silent)) {
-            report_silence(state, life, false, "announcements_stopped", now);
+    for (const auto& process : due) {
+        if (state.m_upstreams.do_neighbours_announce(process.m_upstream, recently_unresponsive)) {
+            report_unresponsive(state, process, false, "announcements_stopped", now);
         }
     }
 }
--- a/dewbeam/src/gateway/crash_blame.h
+++ b/dewbeam/src/gateway/crash_blame.h
@@ -1,11 +1,11 @@
 /// \file
-/// Which contents end the upstreams that run them: what a gateway finds out by itself, tells the
-/// registries, and hears from them.
+/// Detects request contents that crash the upstreams that run them: from the gateway's own
+/// observations, which it reports to the registries, and from the reports it receives from them.
 ///
-/// An attempt that ends without an answer blames nobody: connections break for many reasons. Only
-/// the end of the upstream's life does, as its host refuses connections, another process has its
-/// name or address, or its announcements stop while those of its neighbours go on. An upstream that
-/// left as planned blames nobody.
+/// An attempt that ends without an answer is not attributed to its content by itself, since
+/// connections break for many reasons. Only the end of the upstream's process is: its host refuses
+/// connections, another process has its name or address, or its announcements stop while those of
+/// its neighbours continue. An upstream that left as planned causes no suspicion.
 #pragma once
 
 #include <functional>
@@ -19,34 +19,38 @@
 
 struct gateway_state;
 
-/// An attempt's connection ended before the answer did. `then` is called once it is known, or can't
-/// be told soon, whether the upstream ended: what is sent on before could end another one.
-void judge_broken_attempt(gateway_state& state, const request_pointer& request,
-                          const sent_attempt& sent, std::function<void()> then, time_point now);
+/// Handles an attempt whose connection ended before the answer was complete. `then` is called once
+/// it is known whether the upstream crashed, or after a short time if that can't be determined. A
+/// retry sent earlier could crash another upstream.
+void handle_broken_attempt(gateway_state& state, const request_pointer& request,
+                           const sent_attempt& sent, std::function<void()> then, time_point now);
 
-/// An attempt at an upstream that has not begun to answer is late, or was given up.
-void judge_silent_attempt(gateway_state& state, const request_pointer& request,
-                          const sent_attempt& sent, time_point now);
+/// Handles an attempt that is late or was given up while its upstream has not started to answer.
+void check_unanswered_attempt(gateway_state& state, const request_pointer& request,
+                              const sent_attempt& sent, time_point now);
 
-/// A run ended well.
+/// Records that a request ran successfully.
 void note_good_run(gateway_state& state, const request_pointer& request, time_point now);
 
-/// An upstream answered something.
-void note_sign_of_life(gateway_state& state, const sent_attempt& sent, time_point now);
+/// Records that an upstream answered, which retracts reports that it crashed.
+void record_upstream_answer(gateway_state& state, const sent_attempt& sent, time_point now);
 
-/// The registries told a change of an upstream; before the upstream table takes it in.
-void judge_change(gateway_state& state, const registry::record& changed, time_point now);
+/// Handles a change of an upstream reported by the registries. Call it before the upstream table is
+/// updated with the change.
+void handle_upstream_change(gateway_state& state, const registry::record& changed, time_point now);
 
-/// The registries told something of a content.
-void take_suspicion(gateway_state& state, const registrar::noted_suspicion& heard, time_point now);
+/// Applies a suspicion that the registries reported.
+void apply_suspicion(gateway_state& state, const registrar::noted_suspicion& received,
+                     time_point now);
 
-/// The registries told which suspected contents this gateway may run now.
-void take_turns(gateway_state& state, const std::vector<fingerprint>& granted, time_point now);
+/// Applies the exclusive grants: the suspected contents that this gateway may run now.
+void apply_exclusive_grants(gateway_state& state, const std::vector<fingerprint>& granted,
+                            time_point now);
 
-/// What is due each tick: turns that are wanted.
-void ask_for_turns(gateway_state& state, time_point now);
+/// Requests the exclusive grants that are needed. Called on each tick.
+void request_exclusive_grants(gateway_state& state, time_point now);
 
-/// What is due less often: silent upstreams that didn't come back.
-void judge_silent_upstreams(gateway_state& state, time_point now);
+/// Reports unresponsive upstreams that did not recover. Called less often than each tick.
+void report_unresponsive_upstreams(gateway_state& state, time_point now);
 
 }  // namespace dewbeam::gateway
--- a/dewbeam/src/gateway/forwarder.cpp
+++ b/dewbeam/src/gateway/forwarder.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-/// A refused caller is told to come back within this share of the time that it has left; most
-/// callers don't wait for longer than a third of it.
-constexpr double return_share = 0.32;
+/// Upper bound of Retry-After as a share of the caller's remaining time: most callers don't wait
+/// for longer than a third of it.
+constexpr double retry_after_share = 0.32;
 constexpr time_span shortest_return = std::chrono::milliseconds(100);
-/// An attempt counts as late where others that began so many objectives after it have answered. A
-/// plain call that hangs can be repeated within its objective or soon after. A stream waits for a
-/// place at its rank as well, which says nothing against the rank; its caller leaves after five
-/// objectives without an event.
-constexpr double outrun_share = 0.75;
-constexpr double outrun_share_of_stream = 2.5;
+/// An attempt counts as late if attempts that started later by this multiple of the latency
+/// objective have already been answered. A plain call that hangs can be retried within its
+/// objective or soon after. A stream also waits for a slot at its rank, which is no fault of the
+/// rank; its caller disconnects after five objectives without an event.
+constexpr double overtaken_share = 0.75;
+constexpr double overtaken_share_of_stream = 2.5;
 
 std::int64_t milliseconds(time_span value)
 {
@@ -46,7 +46,7 @@
     return std::max(times.m_longest_pause, times.m_longest_break);
 }
 
-/// Takes a request that is over out of the books.
+/// Removes a finished request from the requests in flight and records its outcome.
 void finish(gateway_state& state, const request_pointer& request, time_point now)
 {
     if (!state.m_requests.remove(request)) {
@@ -84,12 +84,13 @@
          {"whole_ms", milliseconds(now - known.m_arrival)}});
 }
 
-own_error to_error(const gateway_request& request, const dispatch::action& refusal, time_point now)
+gateway_error to_error(const gateway_request& request, const dispatch::action& refusal,
+                       time_point now)
 {
-    own_error fault;
+    gateway_error fault;
     fault.m_code = dispatch::to_string(refusal.m_refusal);
     fault.m_message = "no upstream could take the request in time";
-    // Some attempt may have run: then the status must not tell that none did.
+    // 503 states that the request was not run, so it must not be used if an attempt may have run.
     fault.m_status = request.may_have_run() ? 502 : 503;
     if (request.may_have_run()) {
         fault.m_message = "an upstream failed while the request may have been running";
@@ -100,9 +101,9 @@
         return fault;
     }
     const auto left = std::max(time_span::zero(), request.known().m_deadline - now);
-    const auto longest = std::chrono::duration_cast<time_span>(left * return_share);
-    // Upstreams that refuse or can't be reached are back after seconds, if at all: a caller that
-    // came back at once would spend its retry on the same failure.
+    const auto longest = std::chrono::duration_cast<time_span>(left * retry_after_share);
+    // Upstreams that refuse or are unreachable recover after seconds, if at all. A caller that
+    // retried immediately would spend its retry on the same failure.
     const bool is_outage = refusal.m_refusal == dispatch::refusal::retries_exhausted ||
                            refusal.m_refusal == dispatch::refusal::no_able_upstream;
     const auto wanted = is_outage ? longest : refusal.m_retry_at - now;
@@ -111,7 +112,7 @@
     return fault;
 }
 
-/// An upstream that turned out to be another one is forgotten; its name never comes back.
+/// Removes an upstream whose address belongs to another upstream now. Its name is never reused.
 void forget_upstream(gateway_state& state, const upstream_id& name, time_point now)
 {
     log_event(log_level::info, "upstream_dropped",
@@ -128,7 +129,7 @@
                                        : dispatch::upstream_result::good;
 }
 
-/// What the broker and the books learn of an attempt's end.
+/// Passes the end of an attempt to the broker, the metrics and the log.
 void end_attempt(gateway_state& state, const request_pointer& request, const upstream_id& upstream,
                  attempt_outcome outcome, time_point now)
 {
@@ -165,7 +166,7 @@
     if (outcome.m_is_other_upstream) {
         forget_upstream(state, upstream, now);
     }
-    // Whether the upstream ended is found out apart from how its connections do.
+    // Whether the upstream crashed is determined separately; a broken connection doesn't show it.
     if (outcome.m_end == dispatch::attempt_end::upstream_died) {
         outcome.m_end = dispatch::attempt_end::unknown;
     }
@@ -225,15 +226,15 @@
     }
 }
 
-/// The request goes on, and its content's turn ends, as soon as it is known what became of the
-/// upstream.
+/// Ends the attempt, and with it the exclusive grant of its content, as soon as it is known whether
+/// the upstream crashed. Then the request may be retried.
 void end_broken_attempt(gateway_state& state, const request_pointer& request,
                         const sent_attempt& sent, const attempt_outcome& outcome, time_point now)
 {
     const auto end = [&state, request, sent, outcome] {
         end_attempt(state, request, sent.m_upstream, outcome, program::now());
     };
-    judge_broken_attempt(state, request, sent, end, now);
+    handle_broken_attempt(state, request, sent, end, now);
 }
 
 http::client_handlers handlers_of(gateway_state& state, const request_pointer& request,
@@ -250,7 +251,7 @@
         const bool is_from_upstream =
             (answer.m_is_proven || answer.m_is_not_run) && !answer.m_is_other_upstream;
         const bool is_plain_success = status / 100 == 2 && !answer.m_is_event_stream;
-        if (!request->take_head(attempt, state.m_format, std::move(answer), head, now)) {
+        if (!request->receive_head(attempt, state.m_format, std::move(answer), head, now)) {
             if (request->abandon(attempt)) {
                 end_attempt(state, request, upstream,
                             {dispatch::attempt_end::unknown, true, false, "foreign_answer"}, now);
@@ -258,7 +259,7 @@
             return;
         }
         if (is_from_upstream) {
-            note_sign_of_life(state, sent, now);
+            record_upstream_answer(state, sent, now);
             note_rate_limit(state, sent, limit, now);
         }
         if (is_plain_success) {
@@ -267,7 +268,7 @@
     };
     result.m_on_data = [&state, request, upstream, attempt](std::string bytes) {
         const auto now = program::now();
-        switch (request->take_data(attempt, std::move(bytes), now)) {
+        switch (request->receive_data(attempt, std::move(bytes), now)) {
             case data_result::nothing:
                 break;
             case data_result::first_event:
@@ -281,7 +282,7 @@
     result.m_on_end = [&state, request, sent, upstream, attempt](const absl::Status& ended,
                                                                  http::progress how_far) {
         const auto now = program::now();
-        const auto outcome = request->take_end(attempt, ended, how_far);
+        const auto outcome = request->receive_end(attempt, ended, how_far);
         const bool is_connection_broken = !ended.ok() && how_far != http::progress::not_sent;
         const bool is_broken = is_connection_broken ||
                                (outcome && outcome->m_end == dispatch::attempt_end::upstream_died);
@@ -317,7 +318,7 @@
         perform(state, state.m_pools.cancel(known.m_pool, known.m_ticket, now), now);
         return;
     }
-    state.m_metrics.attempt_begun();
+    state.m_metrics.count_started_attempt();
     state.m_upstreams.begin_attempt(action.m_upstream);
     log_event(log_level::info, "attempt_begun",
               {{"request", known.m_request_id},
@@ -333,21 +334,21 @@
     request->attach(begun->m_number, std::move(exchange));
 }
 
-void end_late_attempt(gateway_state& state, const request_pointer& request, time_point now)
+void end_overtaken_attempt(gateway_state& state, const request_pointer& request, time_point now)
 {
     const auto attempt = request->attempt();
     const auto upstream = request->upstream();
     const auto unanswered = request->unanswered_attempt();
     if (attempt && request->abandon(*attempt)) {
         if (unanswered) {
-            judge_silent_attempt(state, request, *unanswered, now);
+            check_unanswered_attempt(state, request, *unanswered, now);
         }
         end_attempt(state, request, upstream,
                     {dispatch::attempt_end::unknown, true, false, "outrun_by_others"}, now);
     }
 }
 
-/// Whether others that were sent later than the running attempt were answered before it.
+/// Whether requests sent later than the running attempt were answered before it.
 bool is_late(gateway_state& state, const gateway_request& request)
 {
     const auto& known = request.known();
@@ -357,26 +358,27 @@
     }
     const bool is_stream = known.m_route->m_kind == routes::work_kind::streaming;
     const auto margin = std::chrono::duration_cast<time_span>(
-        objective * (is_stream ? outrun_share_of_stream : outrun_share));
+        objective * (is_stream ? overtaken_share_of_stream : overtaken_share));
     return state.m_pools.is_outrun(known.m_pool, known.m_ticket, margin);
 }
 
-/// What may not run twice stays where it is.
+/// Ends a late attempt so that it can be retried. A request that is not idempotent must not run
+/// twice, so its attempt continues and only its upstream is checked.
 void handle_late_attempt(gateway_state& state, const request_pointer& request, time_point now)
 {
     if (routes::is_idempotent(*request->known().m_route)) {
-        end_late_attempt(state, request, now);
+        end_overtaken_attempt(state, request, now);
         return;
     }
     const auto unanswered = request->unanswered_attempt();
     if (unanswered && request->note_lateness()) {
-        judge_silent_attempt(state, request, *unanswered, now);
+        check_unanswered_attempt(state, request, *unanswered, now);
     }
 }
 
 }  // namespace
 
-void fail_request(gateway_state& state, const request_pointer& request, const own_error& fault,
+void fail_request(gateway_state& state, const request_pointer& request, const gateway_error& fault,
                   time_point now)
 {
     request->fail(fault);
@@ -388,7 +390,7 @@
     for (const auto& action : wanted) {
         const auto request = state.m_requests.find(action.m_ticket);
         if (!request) {
-            continue;  // over in the meantime
+            continue;  // it has ended since the broker decided
         }
         if (action.m_kind == dispatch::action::kind::refuse) {
             fail_request(state, request, to_error(*request, action, now), now);
@@ -432,29 +434,30 @@
     update_broker(state, name, now);
 }
 
-void caller_gone(gateway_state& state, const request_pointer& request, time_point now)
+void handle_caller_disconnect(gateway_state& state, const request_pointer& request, time_point now)
 {
     const auto unanswered = request->unanswered_attempt();
-    if (!request->set_gone()) {
+    if (!request->mark_disconnected()) {
         return;
     }
     if (unanswered) {
-        judge_silent_attempt(state, request, *unanswered, now);
+        check_unanswered_attempt(state, request, *unanswered, now);
     }
     const auto& known = request->known();
     finish(state, request, now);
     perform(state, state.m_pools.cancel(known.m_pool, known.m_ticket, now), now);
 }
 
-void give_up(gateway_state& state, const request_pointer& request, own_error fault, time_point now)
+void give_up(gateway_state& state, const request_pointer& request, gateway_error fault,
+             time_point now)
 {
     const auto& known = request->known();
     if (request->may_have_run()) {
-        fault.m_status = 504;  // 503 would tell that it has not run
+        fault.m_status = 504;  // 503 would state that it was not run
         fault.m_retry_after = time_span::zero();
     }
     if (const auto unanswered = request->unanswered_attempt()) {
-        judge_silent_attempt(state, request, *unanswered, now);
+        check_unanswered_attempt(state, request, *unanswered, now);
     }
     fail_request(state, request, fault, now);
     perform(state, state.m_pools.cancel(known.m_pool, known.m_ticket, now), now);
--- a/dewbeam/src/gateway/gateway_metrics.cpp
+++ b/dewbeam/src/gateway/gateway_metrics.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Seconds; around the objectives of plain calls (0.1) and of first events (0.4 to 0.72).
+/// In seconds; they surround the latency objectives of plain calls (0.1) and of first events of
+/// streams (0.4 to 0.72).
 const prometheus::Histogram::BucketBoundaries latency_bounds{
     0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.72, 1.0, 2.0, 4.0, 8.0};
 
@@ -64,7 +65,7 @@
             .Register(m_registry);
     prometheus::Counter& m_begun = m_begun_attempts.Add({});
     prometheus::Histogram& m_first_byte = m_latency.Add({{"until", "first_byte"}}, latency_bounds);
-    prometheus::Histogram& m_whole = m_latency.Add({{"until", "end"}}, latency_bounds);
+    prometheus::Histogram& m_total_latency = m_latency.Add({{"until", "end"}}, latency_bounds);
     prometheus::Gauge& m_in_flight = m_state.Add({{"name", "in_flight"}});
     prometheus::Gauge& m_attempts_now = m_state.Add({{"name", "attempts"}});
     prometheus::Gauge& m_upstreams = m_state.Add({{"name", "upstreams"}});
@@ -79,7 +80,7 @@
 void gateway_metrics::request_ended(const std::string& outcome, time_span whole_after)
 {
     m_families->m_requests.Add({{"outcome", outcome}}).Increment();
-    m_families->m_whole.Observe(to_seconds(whole_after));
+    m_families->m_total_latency.Observe(to_seconds(whole_after));
 }
 
 void gateway_metrics::first_byte(time_span after)
@@ -92,7 +93,7 @@
     m_families->m_late_answers.Add({{"reason", reason}}).Increment();
 }
 
-void gateway_metrics::attempt_begun()
+void gateway_metrics::count_started_attempt()
 {
     m_families->m_begun.Increment();
 }
--- a/dewbeam/src/gateway/gateway_metrics.h
+++ b/dewbeam/src/gateway/gateway_metrics.h
@@ -1,6 +1,6 @@
 /// \file
-/// Metrics of a gateway, for Prometheus. Labels are bounded: neither workspaces, routes nor
-/// upstreams are named.
+/// Metrics of a gateway, for Prometheus. The number of label values is bounded: labels name no
+/// workspaces, routes or upstreams.
 #pragma once
 
 #include <memory>
@@ -21,25 +21,27 @@
     gateway_metrics(gateway_metrics&&) = delete;
     gateway_metrics& operator=(gateway_metrics&&) = delete;
 
-    /// A request was answered: by its status class, `cut` or `caller_gone`.
+    /// Counts a finished request by `outcome`: an error code, "answered", "upstream_failure",
+    /// "cut" or "caller_gone".
     void request_ended(const std::string& outcome, time_span whole_after);
 
-    /// The caller got the first byte.
+    /// Records the time until the caller got the first byte.
     void first_byte(time_span after);
 
-    /// An answer missed its objective; `reason` is the field term of the logs.
+    /// Counts an answer that missed its objective; `reason` is the name used in the logs.
     void answered_late(const std::string& reason);
 
-    /// An attempt began.
-    void attempt_begun();
+    /// Counts an attempt that started.
+    void count_started_attempt();
 
-    /// An attempt ended; `reason` is the field term of the logs.
+    /// Counts an attempt that ended; `reason` is the name used in the logs.
     void attempt_ended(const std::string& reason);
 
-    /// An attempt's answer ended, by its frame, its connection's end and its place.
+    /// Counts the answer to an attempt by its body framing, the end of its connection and the
+    /// position at which it ended.
     void answer_ended(const answer_end& end);
 
-    /// A content was suspected; `reason` is the field term of the logs.
+    /// Counts a suspected content; `reason` is the name used in the logs.
     void content_suspected(const std::string& reason);
 
     void set_in_flight(std::size_t count);
@@ -48,7 +50,7 @@
     void set_registries(std::size_t count);
     void set_revision(std::uint64_t number);
 
-    /// The text form that Prometheus reads.
+    /// The metrics in the Prometheus text format.
     [[nodiscard]] std::string text() const;
 
 private:
--- a/dewbeam/src/gateway/gateway_request.cpp
+++ b/dewbeam/src/gateway/gateway_request.cpp
@@ -12,8 +12,9 @@
 constexpr int first_success = 200;
 constexpr int first_redirect = 300;
 constexpr int first_upstream_error = 500;
-/// Largest answer that is held until it is whole. Larger ones end as unknown: a service with such
-/// answers needs streaming.
+/// Maximum size of an answer that is buffered until it is complete. Pieces that would exceed it are
+/// dropped, so a larger answer is delivered incomplete: a service with such answers needs
+/// streaming.
 constexpr std::size_t most_answer_bytes = 16UL * 1024 * 1024;
 
 bool is_success(int status)
@@ -21,15 +22,15 @@
     return status >= first_success && status < first_redirect;
 }
 
-/// A status that tells callers that the request was not run.
-bool is_promise(int status)
+/// Whether the status tells callers that the request was not run.
+bool claims_not_run(int status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
 }  // namespace
 
-http::response to_response(const own_error& fault, std::string_view request_id)
+http::response to_response(const gateway_error& fault, std::string_view request_id)
 {
     auto result = http::json_response(
         fault.m_status,
@@ -49,7 +50,8 @@
 {
 }
 
-std::optional<attempt_start> gateway_request::begin(const upstream_id& upstream, incarnation life,
+std::optional<attempt_start> gateway_request::begin(const upstream_id& upstream,
+                                                    incarnation target_incarnation,
                                                     std::uint32_t order, time_point now)
 {
     const std::lock_guard lock(m_mutex);
@@ -59,10 +61,10 @@
     ++m_attempts;
     m_has_attempt = true;
     m_upstream = upstream;
-    m_life = life;
+    m_upstream_incarnation = target_incarnation;
     m_order = order;
     m_last_sent = now;
-    m_has_events_of_it = false;
+    m_attempt_has_events = false;
     if (m_result.m_times.m_first_sent == time_point{}) {
         m_result.m_times.m_first_sent = now;
     }
@@ -92,14 +94,14 @@
     m_exchange = std::move(exchange);
 }
 
-bool gateway_request::take_head(attempt_number attempt, const wire_format& format, answer_head head,
-                                const http::fields& fields, time_point now)
+bool gateway_request::receive_head(attempt_number attempt, const wire_format& format,
+                                   answer_head head, const http::fields& fields, time_point now)
 {
     const std::lock_guard lock(m_mutex);
     if (m_is_over || !m_has_attempt || m_attempts != attempt.value()) {
-        return true;  // its end is handled where it was given up
+        return true;  // the attempt was given up, and its end is handled there
     }
-    // An answer that names another request belongs to that one; a success must name its request.
+    // An answer that names another request belongs to that request. A success must name its own.
     const bool is_foreign = head.m_request_id != m_facts.m_call.m_request_id &&
                             (!head.m_request_id.empty() || is_success(head.m_status));
     if (is_foreign || (is_success(head.m_status) && !head.m_is_proven)) {
@@ -115,7 +117,7 @@
     return true;
 }
 
-data_result gateway_request::take_data(attempt_number attempt, std::string bytes, time_point now)
+data_result gateway_request::receive_data(attempt_number attempt, std::string bytes, time_point now)
 {
     const std::lock_guard lock(m_mutex);
     if (m_is_over || !m_has_attempt || m_attempts != attempt.value()) {
@@ -135,9 +137,9 @@
     }
     deliver(std::move(events));
     if (m_events.m_events == events_before) {
-        return data_result::nothing;  // comments and line ends alone
+        return data_result::nothing;  // only comments and line ends
     }
-    const bool is_first = !std::exchange(m_has_events_of_it, true);
+    const bool is_first = !std::exchange(m_attempt_has_events, true);
     note_event(m_result.m_times, is_first, now);
     return is_first ? data_result::first_event : data_result::next_event;
 }
@@ -152,9 +154,9 @@
     m_answer->write(std::move(events));
 }
 
-std::optional<attempt_outcome> gateway_request::take_end(attempt_number attempt,
-                                                         const absl::Status& result,
-                                                         http::progress how_far)
+std::optional<attempt_outcome> gateway_request::receive_end(attempt_number attempt,
+                                                            const absl::Status& result,
+                                                            http::progress how_far)
 {
     const std::lock_guard lock(m_mutex);
     if (m_is_over || !m_has_attempt || m_attempts != attempt.value()) {
@@ -203,7 +205,7 @@
         return judge_failure();
     }
     if (m_head.m_is_event_stream) {
-        if (const auto* reason = break_of_stream()) {
+        if (const auto* reason = stream_truncation()) {
             return {attempt_end::upstream_died, true, false, reason};
         }
         finish_stream();
@@ -212,7 +214,7 @@
         return {attempt_end::unknown, true, false, "not_a_stream"};
     }
     else {
-        respond_whole();
+        respond_complete();
     }
     return {attempt_end::completed, false, false, "completed"};
 }
@@ -220,36 +222,39 @@
 attempt_outcome gateway_request::judge_failure()
 {
     using dispatch::attempt_end;
-    const bool is_error = m_head.m_status >= first_upstream_error || is_promise(m_head.m_status);
+    const bool is_error =
+        m_head.m_status >= first_upstream_error || claims_not_run(m_head.m_status);
     if (m_is_streaming) {
         return {attempt_end::unknown, is_error, false, "upstream_error"};
     }
-    if (!is_error || (!routes::is_idempotent(*m_facts.m_route) && !is_promise(m_head.m_status))) {
-        respond_whole();
+    if (!is_error ||
+        (!routes::is_idempotent(*m_facts.m_route) && !claims_not_run(m_head.m_status))) {
+        respond_complete();
         return {attempt_end::completed, is_error, false, "upstream_error"};
     }
-    // Only an idempotent request is tried again. Where that can't be, its caller gets this answer,
-    // unless it would tell that the request was not run, which the upstream didn't state.
-    if (!is_promise(m_head.m_status)) {
-        m_failure = kept_failure{m_head.m_status, m_fields, std::move(m_body)};
+    // Only an idempotent request is retried. If no retry is possible, the caller gets this answer,
+    // unless its status says that the request was not run, which the upstream didn't state.
+    if (!claims_not_run(m_head.m_status)) {
+        m_failure = stored_failure{m_head.m_status, m_fields, std::move(m_body)};
     }
     return {attempt_end::unknown, true, false, "upstream_error"};
 }
 
-const char* gateway_request::break_of_stream() const
+const char* gateway_request::stream_truncation() const
 {
     if (replies::is_inside_event(m_events)) {
         return "cut_inside_event";
     }
-    // A whole stream without any event has a frame that says so.
-    const bool is_empty = m_frame == http::body_frame::close && !m_has_events_of_it;
+    // With explicit framing a stream without any event is complete. If only the end of the
+    // connection marks the end of the body, it counts as broken.
+    const bool is_empty = m_frame == http::body_frame::close && !m_attempt_has_events;
     return is_empty ? "closed_before_event" : nullptr;
 }
 
 void gateway_request::finish_stream()
 {
     if (!m_is_streaming) {
-        // A whole stream without any event.
+        // The stream is complete and has no event.
         m_result.m_status = m_head.m_status;
         m_answer->start(m_head.m_status, m_fields);
     }
@@ -260,7 +265,7 @@
     m_answer->finish();
 }
 
-void gateway_request::respond_whole()
+void gateway_request::respond_complete()
 {
     m_is_over = true;
     m_result.m_status = m_head.m_status;
@@ -308,7 +313,8 @@
     if (m_is_over || !m_has_attempt || m_head.m_status != 0) {
         return std::nullopt;
     }
-    return sent_attempt{m_upstream, m_life, attempt_number(m_attempts), m_last_sent, m_order};
+    return sent_attempt{m_upstream, m_upstream_incarnation, attempt_number(m_attempts), m_last_sent,
+                        m_order};
 }
 
 upstream_id gateway_request::upstream() const
@@ -317,7 +323,7 @@
     return m_has_attempt ? m_upstream : upstream_id();
 }
 
-void gateway_request::fail(const own_error& fault)
+void gateway_request::fail(const gateway_error& fault)
 {
     const std::lock_guard lock(m_mutex);
     if (m_is_over) {
@@ -344,7 +350,7 @@
     m_answer->respond(to_response(fault, m_facts.m_request_id));
 }
 
-bool gateway_request::set_gone()
+bool gateway_request::mark_disconnected()
 {
     const std::lock_guard lock(m_mutex);
     if (m_is_over) {
--- a/dewbeam/src/gateway/gateway_request.h
+++ b/dewbeam/src/gateway/gateway_request.h
@@ -1,5 +1,5 @@
 /// \file
-/// One caller's request inside a gateway: its answer, and the attempt that it now owns.
+/// One caller's request inside a gateway: its answer and its current attempt.
 #pragma once
 
 #include <boost/smart_ptr/intrusive_ptr.hpp>
@@ -19,29 +19,29 @@
 
 namespace dewbeam::gateway {
 
-/// Number of an attempt inside one request, from 1.
+/// Number of an attempt within one request, starting at 1.
 using attempt_number = strong<struct gateway_attempt_tag, std::uint32_t>;
 
 /// How an attempt ended.
 struct attempt_outcome {
     dispatch::attempt_end m_end = dispatch::attempt_end::unknown;
-    bool m_is_upstream_fault = false;  ///< speaks against the upstream
+    bool m_is_upstream_fault = false;  ///< counts as a failure of the upstream
     bool m_is_other_upstream = false;  ///< the address belongs to another upstream now
-    const char* m_reason = "";         ///< field term for logs
-    bool m_is_group_fault = false;     ///< its whole group can't serve, by another rank's fault
+    const char* m_reason = "";         ///< name in logs and metrics
+    bool m_is_group_fault = false;     ///< the whole group can't serve because another rank failed
     answer_end m_answer{};
 };
 
-/// An attempt, where it was sent and when.
+/// An attempt, with the upstream it was sent to and when.
 struct sent_attempt {
     upstream_id m_upstream;
     incarnation m_incarnation;
     attempt_number m_number;
     time_point m_sent_at{};
-    std::uint32_t m_order = 0;  ///< that the upstream's death would have; see quarantine::death
+    std::uint32_t m_order = 0;  ///< of a crash report on this attempt; see `quarantine::death`
 };
 
-/// An attempt that begins.
+/// An attempt that starts.
 struct attempt_start {
     attempt_number m_number;
     forwarding m_forwarding;
@@ -50,7 +50,7 @@
 /// How a request was answered, for logs and metrics.
 struct request_end {
     int m_status = 0;         ///< 0: the caller got nothing
-    const char* m_code = "";  ///< of an own error
+    const char* m_code = "";  ///< of an error of the gateway itself
     answer_times m_times;
     late_reason m_late = late_reason::none;
     bool m_is_caller_gone = false;
@@ -58,35 +58,35 @@
     answer_end m_answer;    ///< of the last attempt that ended
 };
 
-/// What bytes of an answer brought to the caller.
+/// What the received bytes of an answer delivered to the caller.
 enum class data_result { nothing, first_event, next_event };
 
-/// An error of the gateway's own.
-struct own_error {
+/// An error of the gateway itself.
+struct gateway_error {
     int m_status = 503;
-    const char* m_code = "";                      ///< stable, for programs
-    const char* m_message = "";                   ///< for a person
-    time_span m_retry_after = time_span::zero();  ///< zero: no advice
+    const char* m_code = "";                      ///< stable, machine-readable
+    const char* m_message = "";                   ///< human-readable
+    time_span m_retry_after = time_span::zero();  ///< zero: no Retry-After
 };
 
-/// The response for an own error, with `Retry-After` in seconds and a fraction.
-http::response to_response(const own_error& fault, std::string_view request_id);
+/// The response for an error of the gateway itself, with `Retry-After` in seconds with decimals.
+http::response to_response(const gateway_error& fault, std::string_view request_id);
 
-/// A request. Thread-safe behind its own mutex; with the mutex held it calls only the exchanges,
-/// which do no more than queue.
+/// A request. Thread-safe, guarded by its own mutex. While it holds the mutex it calls only the
+/// exchanges, which merely queue the work.
 class gateway_request
     : public boost::intrusive_ref_counter<gateway_request, boost::thread_safe_counter> {
 public:
-    /// What is known before the first attempt; constant afterwards.
+    /// Facts that are set before the first attempt and constant afterwards.
     struct facts {
         dispatch::ticket m_ticket;
         std::string m_request_id;
         std::string m_pool;
-        std::shared_ptr<const routes::book> m_book;  ///< keeps the route
+        std::shared_ptr<const routes::book> m_book;  ///< keeps `m_route` valid
         const routes::route* m_route = nullptr;
         workspace_id m_workspace;
         std::uint32_t m_priority = 0;
-        fingerprint m_content;  ///< the same for each copy of the request
+        fingerprint m_content;  ///< identical for all copies of the request
         caller_call m_call;
         http::request m_request;
         time_point m_arrival{};
@@ -97,56 +97,59 @@
 
     [[nodiscard]] const facts& known() const { return m_facts; }
 
-    /// Begins an attempt at an upstream; nothing where the request is over.
-    std::optional<attempt_start> begin(const upstream_id& upstream, incarnation life,
+    /// Starts an attempt at an upstream; empty if the request has ended.
+    std::optional<attempt_start> begin(const upstream_id& upstream, incarnation target_incarnation,
                                        std::uint32_t order, time_point now);
 
-    /// The exchange of an attempt that began; cancelled at once where the attempt is over.
+    /// Sets the exchange of a started attempt. Cancels it immediately if the attempt has ended.
     void attach(attempt_number attempt, std::shared_ptr<http::client_exchange> exchange);
 
-    /// The head of an answer; false where it must not be used, so that the attempt ends.
-    bool take_head(attempt_number attempt, const wire_format& format, answer_head head,
-                   const http::fields& fields, time_point now);
+    /// Handles the head of an answer. Returns false if the answer must not be used; the caller then
+    /// ends the attempt.
+    bool receive_head(attempt_number attempt, const wire_format& format, answer_head head,
+                      const http::fields& fields, time_point now);
 
-    /// Bytes of an answer.
-    data_result take_data(attempt_number attempt, std::string bytes, time_point now);
+    /// Handles received bytes of an answer.
+    data_result receive_data(attempt_number attempt, std::string bytes, time_point now);
 
-    /// The end of an attempt's exchange; nothing where the attempt is not the one owned now.
-    std::optional<attempt_outcome> take_end(attempt_number attempt, const absl::Status& result,
-                                            http::progress how_far);
+    /// Handles the end of an attempt's exchange. Empty if the attempt is not the current one.
+    std::optional<attempt_outcome> receive_end(attempt_number attempt, const absl::Status& result,
+                                               http::progress how_far);
 
-    /// Gives the attempt up, so that nothing of it is delivered any more; its exchange is
-    /// cancelled. False where another or none is owned.
+    /// Gives the attempt up: nothing more of it is delivered, and its exchange is cancelled.
+    /// Returns false if the attempt is not the current one.
     bool abandon(attempt_number attempt);
 
-    /// The attempt owned now; nothing where there is none.
+    /// The current attempt; empty if there is none.
     [[nodiscard]] std::optional<attempt_number> attempt() const;
 
-    /// True once for each attempt: its upstream's silence is to be looked into.
+    /// Records that the current attempt is late. Returns true only the first time for each attempt,
+    /// so that its unresponsive upstream is checked once.
     bool note_lateness();
 
-    /// The attempt owned now, where its upstream has not begun to answer.
+    /// The current attempt, if its upstream has not started to answer; otherwise empty.
     [[nodiscard]] std::optional<sent_attempt> unanswered_attempt() const;
 
-    /// The upstream of the attempt owned now; empty where there is none.
+    /// The upstream of the current attempt; empty if there is none.
     [[nodiscard]] upstream_id upstream() const;
 
-    /// Ends the request with an error, in the way that fits what the caller has: an answer, an
-    /// upstream's own failure where one was kept, or a visible cut.
-    void fail(const own_error& fault);
+    /// Ends the request with an error. If part of a stream was delivered, the stream is aborted, so
+    /// that the caller sees the truncation. Otherwise the caller gets the stored failure answer of
+    /// an upstream, or `fault` if there is none.
+    void fail(const gateway_error& fault);
 
-    /// The caller went away. False where the request was over.
-    bool set_gone();
+    /// Ends the request because the caller disconnected. Returns false if it had already ended.
+    bool mark_disconnected();
 
     [[nodiscard]] bool is_over() const;
 
-    /// Whether some attempt may have run.
+    /// Whether an attempt may have run.
     [[nodiscard]] bool may_have_run() const;
 
     [[nodiscard]] request_end result() const;
 
 private:
-    struct kept_failure {
+    struct stored_failure {
         int m_status = 0;
         http::fields m_fields;
         std::string m_body;
@@ -156,10 +159,10 @@
     attempt_outcome judge();
     attempt_outcome judge_failure();
     void deliver(std::string events);
-    /// Why a stream whose connection ended well is broken all the same; null where it is whole.
-    [[nodiscard]] const char* break_of_stream() const;
+    /// Why a stream is incomplete although its connection ended normally; null if it is complete.
+    [[nodiscard]] const char* stream_truncation() const;
     void finish_stream();
-    void respond_whole();
+    void respond_complete();
     void drop_attempt();
 
     facts m_facts;
@@ -168,21 +171,21 @@
     std::uint32_t m_attempts = 0;
     bool m_has_attempt = false;
     upstream_id m_upstream;
-    incarnation m_life;                ///< of that upstream
-    std::uint32_t m_order = 0;         ///< of the attempt
-    std::uint32_t m_late_attempt = 0;  ///< the last one that was found late
+    incarnation m_upstream_incarnation;  ///< of `m_upstream`
+    std::uint32_t m_order = 0;           ///< of the attempt
+    std::uint32_t m_late_attempt = 0;    ///< the last attempt that was found late
     std::shared_ptr<http::client_exchange> m_exchange;
     answer_head m_head;
-    http::body_frame m_frame = http::body_frame::length;  ///< of the answer with that head
-    http::fields m_fields;  ///< of the answer, as the caller gets them
-    std::string m_body;     ///< of an answer that is not a stream
+    http::body_frame m_frame = http::body_frame::length;  ///< of the answer with `m_head`
+    http::fields m_fields;                                ///< of the answer, as sent to the caller
+    std::string m_body;                                   ///< of an answer that is not a stream
     replies::event_splitter m_events;
-    bool m_is_streaming = false;  ///< the caller has the head of a stream
-    std::optional<kept_failure> m_failure;
+    bool m_is_streaming = false;  ///< the head of a stream was sent to the caller
+    std::optional<stored_failure> m_failure;
     bool m_is_over = false;
     bool m_may_have_run = false;
-    time_point m_last_sent{};         ///< when the last attempt began
-    bool m_has_events_of_it = false;  ///< the last attempt has brought some
+    time_point m_last_sent{};           ///< when the last attempt was sent
+    bool m_attempt_has_events = false;  ///< the last attempt has delivered events
     request_end m_result;
 };
 
--- a/dewbeam/src/gateway/gateway_server.cpp
+++ b/dewbeam/src/gateway/gateway_server.cpp
@@ -15,32 +15,33 @@
 
 using json = nlohmann::json;
 
-/// Deadlines and late attempts are looked at this often: a small part of the shortest objective.
+/// How often deadlines and late attempts are checked: a small part of the shortest objective.
 constexpr time_span tick_interval = std::chrono::milliseconds(20);
 constexpr time_span slow_interval = std::chrono::milliseconds(500);
 /// Minimum time between two documents that a gateway fetches. Each document is sent to every
 /// gateway, so this bounds the load on the registries when changes follow in quick succession; it
 /// is a small part of the time allowed for a change to take effect.
 constexpr time_span document_interval = std::chrono::milliseconds(200);
-/// How long a start waits for a registry that is sure of the newest revision.
-constexpr time_span sure_wait = std::chrono::seconds(4);
+/// How long startup waits for a registry that is certain to have the newest revision.
+constexpr time_span settled_revision_timeout = std::chrono::seconds(4);
 
-/// The number of gateways is known with a delay, and the budget is counted over any span of some
-/// seconds: this much of it is used.
-constexpr double used_budget = 0.8;
+/// Share of the retry budget that is used. The margin is needed because the number of gateways is
+/// known with a delay, and the budget applies to any span of some seconds.
+constexpr double used_budget_share = 0.8;
 
 retry::budget_options retries_of(const json& settings, std::uint32_t gateways)
 {
-    // All gateways together must stay below the settings: each takes an equal part of the burst.
+    // All gateways together must stay within the settings: each takes an equal part of the burst.
     retry::budget_options result;
-    result.m_share = used_budget * setting_value<double>(settings, "/retries/share");
-    result.m_burst =
-        std::max(1.0, used_budget * setting_value<double>(settings, "/retries/burst") / gateways);
+    result.m_share = used_budget_share * setting_value<double>(settings, "/retries/share");
+    result.m_burst = std::max(
+        1.0, used_budget_share * setting_value<double>(settings, "/retries/burst") / gateways);
     return result;
 }
 
-/// Contents run beside others on the upstreams, which no gateway has to itself, so that one more
-/// death than where suspects run alone tells a cause from what stood beside it.
+/// No gateway has an upstream to itself, so contents run concurrently with others. Quarantine takes
+/// one crash more than where suspects run in isolation, to tell the cause from contents that only
+/// ran at the same time.
 quarantine::quarantine_options quarantine_of_contents()
 {
     quarantine::quarantine_options result;
@@ -56,8 +57,8 @@
     result.m_entry = host_id(setting_value<std::string>(settings, "/host"));
     result.m_entries_sharing = setting_value<std::uint32_t>(settings, "/gateways");
     result.m_retries = retries_of(settings, result.m_entries_sharing);
-    // Streamed answers last for about a second and a half; the counts of the other gateways are
-    // up to 0.3 s old.
+    // Streamed answers take about 1.5 s. The counts reported by the other gateways are up to 0.3 s
+    // old.
     result.m_choice.m_running_lifetime = std::chrono::milliseconds(1500);
     result.m_choice.m_waiting_lifetime = std::chrono::milliseconds(500);
     result.m_runs_must_fit = false;
@@ -143,8 +144,8 @@
                      m_state.m_feed.take(from, message, program::now());
                  }
              },
-             [this](const std::vector<link::peer>& gone) {
-                 for (const auto& item : gone) {
+             [this](const std::vector<link::peer>& lost_peers) {
+                 for (const auto& item : lost_peers) {
                      log_event(log_level::warning, "registry_lost", {{"address", item.m_address}});
                      m_state.m_feed.lost(item);
                  }
@@ -181,14 +182,15 @@
     {
         program::program_hooks result;
         result.m_is_ready = [this] {
-            return m_state.m_feed.is_settled(m_started_at + sure_wait, program::now());
+            return m_state.m_feed.is_settled(m_started_at + settled_revision_timeout,
+                                             program::now());
         };
         result.m_in_flight = [this] {
             return std::max(m_state.m_requests.size(), m_server->unanswered());
         };
         result.m_announce_leave = [this] { m_server->wind_down(); };
         result.m_stop_accepting = [this] { m_server->stop_accepting(); };
-        result.m_give_up = [this] { give_up_all(m_state, program::now()); };
+        result.m_give_up = [this] { fail_all_requests(m_state, program::now()); };
         result.m_tick = [this](time_point now) { tick(now); };
         result.m_tick_interval = tick_interval;
         return result;
@@ -197,7 +199,7 @@
     ~implementation()
     {
         if (m_node) {
-            m_node->stop();  // its thread uses the members that end before it
+            m_node->stop();  // its thread uses members that are destroyed before `m_node`
         }
     }
 
@@ -272,23 +274,24 @@
             return on_revision(newer);
         };
         result.m_on_load = [this](const std::string& upstream, std::uint32_t in_flight) {
-            m_others[upstream_id(upstream)] = in_flight;
+            m_other_gateways_load[upstream_id(upstream)] = in_flight;
         };
         result.m_on_pace = [this](const std::string& upstream, double pace) {
-            m_paces[upstream_id(upstream)] = pace;
+            m_slowdowns[upstream_id(upstream)] = pace;
         };
         result.m_on_loads_end = [this] { on_loads(); };
         result.m_on_gateways = [this](std::uint32_t gateways) { on_gateways(gateways); };
-        result.m_on_limit = [this](const permits::rate_limit& told) {
-            if (m_state.m_upstreams.note_limit(told)) {
-                apply_rate_limit(m_state, told.m_upstream, told.m_per_second, program::now());
+        result.m_on_limit = [this](const permits::rate_limit& reported) {
+            if (m_state.m_upstreams.note_limit(reported)) {
+                apply_rate_limit(m_state, reported.m_upstream, reported.m_per_second,
+                                 program::now());
             }
         };
-        result.m_on_suspicion = [this](const registrar::noted_suspicion& heard) {
-            take_suspicion(m_state, heard, program::now());
+        result.m_on_suspicion = [this](const registrar::noted_suspicion& received) {
+            apply_suspicion(m_state, received, program::now());
         };
         result.m_on_turns = [this](const std::vector<fingerprint>& granted) {
-            take_turns(m_state, granted, program::now());
+            apply_exclusive_grants(m_state, granted, program::now());
         };
         result.m_on_permits = [this](const upstream_id& upstream, std::uint32_t count) {
             add_permits(upstream, count, program::now());
@@ -307,7 +310,7 @@
                    {"silent", changed.m_is_silent},
                    {"incarnation", known.m_incarnation.value()},
                    {"number", known.m_number.value()}});
-        judge_change(m_state, changed, now);
+        handle_upstream_change(m_state, changed, now);
         if (known.m_state == registry::upstream_state::gone) {
             remove_upstream(m_state, known.m_name, now);
             return;
@@ -339,15 +342,15 @@
     void on_loads()
     {
         const auto now = program::now();
-        m_state.m_upstreams.set_paces(m_paces);
-        m_paces.clear();
+        m_state.m_upstreams.set_slowdowns(m_slowdowns);
+        m_slowdowns.clear();
         for (const auto& load : m_state.m_upstreams.loads()) {
-            const auto place = m_others.find(load.m_name);
-            m_state.m_upstreams.set_others(load.m_name, place == m_others.end() ? 0 : place->second,
-                                           now);
+            const auto place = m_other_gateways_load.find(load.m_name);
+            m_state.m_upstreams.set_other_gateways_load(
+                load.m_name, place == m_other_gateways_load.end() ? 0 : place->second, now);
             update_broker(m_state, load.m_name, now);
         }
-        m_others.clear();
+        m_other_gateways_load.clear();
     }
 
     void add_permits(const upstream_id& upstream, std::uint32_t count, time_point now)
@@ -396,7 +399,7 @@
         const auto limits = m_state.m_upstreams.limits(now);
         m_state.m_feed.set_limits(limits, limits.empty() ? std::vector<permits::demand>{}
                                                          : m_state.m_pools.wanted_permits(now));
-        ask_for_turns(m_state, now);
+        request_exclusive_grants(m_state, now);
         m_state.m_feed.tick(loads, {}, now);
         issue_own_shares(limits, now);
         perform(m_state, m_state.m_pools.tick(now), now);
@@ -404,7 +407,7 @@
             log_event(log_level::warning, "group_closed",
                       {{"group", group}, {"reason", "its streams had no events"}});
         }
-        refuse_lapsed_calls(m_state, now);
+        refuse_expired_calls(m_state, now);
         for (const auto& request : m_state.m_requests.all()) {
             watch_request(m_state, request, now);
         }
@@ -414,10 +417,10 @@
         }
     }
 
-    /// What is due less often than each tick.
+    /// Work that is due less often than each tick.
     void slow_tick(time_point now)
     {
-        judge_silent_upstreams(m_state, now);
+        report_unresponsive_upstreams(m_state, now);
         for (const auto& name : m_state.m_upstreams.silent()) {
             update_broker(m_state, name, now);
         }
@@ -429,11 +432,11 @@
     }
 
     gateway_state m_state;
-    std::atomic<bool> m_is_started = false;                  ///< all members below are there
-    std::map<upstream_id, std::uint32_t> m_others;           ///< used on the link's thread alone
-    std::map<upstream_id, double> m_paces;                   ///< the same
-    std::uint32_t m_gateways = 0;                            ///< the same
-    time_point m_next_slow{};                                ///< used on the frame's thread alone
+    std::atomic<bool> m_is_started = false;  ///< all members below are initialised
+    std::map<upstream_id, std::uint32_t> m_other_gateways_load;  ///< used only on the link's thread
+    std::map<upstream_id, double> m_slowdowns;                   ///< the same
+    std::uint32_t m_gateways = 0;                                ///< the same
+    time_point m_next_slow{};                                ///< used only on the frame's thread
     std::map<upstream_id, permits::own_share> m_own_shares;  ///< the same
     time_point m_started_at{};
     std::unique_ptr<link::node> m_node;
--- a/dewbeam/src/gateway/gateway_server.h
+++ b/dewbeam/src/gateway/gateway_server.h
@@ -1,5 +1,5 @@
 /// \file
-/// The gateway program: brings callers' requests to upstreams that announce themselves.
+/// The gateway program: forwards callers' requests to upstreams that announce themselves.
 #pragma once
 
 #include <memory>
@@ -26,7 +26,7 @@
     /// Opens the listeners.
     absl::Status start();
 
-    /// What the program's frame calls.
+    /// The callbacks for the program's frame.
     program::program_hooks hooks();
 
 private:
--- a/dewbeam/src/gateway/gateway_state.h
+++ b/dewbeam/src/gateway/gateway_state.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the modules of one gateway share. Each part guards itself.
+/// State that the modules of one gateway share. Each part has its own locking.
 #pragma once
 
 #include <atomic>
@@ -22,8 +22,8 @@
 
 namespace dewbeam::gateway {
 
-/// The route book in force. Thread-safe; never goes back.
-class book_holder {
+/// The route configuration in force. Thread-safe; its revision never decreases.
+class configuration_holder {
 public:
     [[nodiscard]] std::shared_ptr<const routes::book> current() const
     {
@@ -31,7 +31,7 @@
         return m_book;
     }
 
-    /// False where the one held is as new.
+    /// Returns false if the current revision is the same or newer.
     bool adopt(std::shared_ptr<const routes::book> fresh)
     {
         const std::lock_guard lock(m_mutex);
@@ -44,7 +44,7 @@
 
 private:
     mutable std::mutex m_mutex;
-    std::shared_ptr<const routes::book> m_book;  ///< null until one is known
+    std::shared_ptr<const routes::book> m_book;  ///< null until the first one is received
 };
 
 /// The requests in flight. Thread-safe.
@@ -56,7 +56,7 @@
         m_requests.emplace(request->known().m_ticket, request);
     }
 
-    /// False where it was taken away before.
+    /// Returns false if it was removed before.
     bool remove(const request_pointer& request)
     {
         const std::lock_guard lock(m_mutex);
@@ -92,19 +92,19 @@
     std::map<dispatch::ticket, request_pointer> m_requests;
 };
 
-/// What this gateway saw itself of contents that may end upstreams. What all gateways know of them
-/// is in the feed and in the pools.
-struct crash_watch {
-    explicit crash_watch(boost::asio::io_context& context) : m_probe(context) {}
+/// This gateway's own observations of contents that may crash upstreams. What all gateways know of
+/// them is in the feed and in the pools.
+struct crash_tracker {
+    explicit crash_tracker(boost::asio::io_context& context) : m_probe(context) {}
 
     std::mutex m_mutex;
-    loss_watch m_losses;                           ///< under m_mutex
-    loss_watch m_judged;                           ///< the same; may have to be taken back
-    std::map<upstream_life, time_point> m_silent;  ///< the same; since when, for some seconds
-    std::set<upstream_life> m_to_judge;            ///< the same; those of them not yet judged
-    good_runs m_good_runs;                         ///< the same
-    std::size_t m_granted = 0;                     ///< the same; turns
-    bool m_is_cut_off = false;                     ///< the same
+    loss_watch m_losses;           ///< guarded by m_mutex
+    loss_watch m_reported_losses;  ///< the same; may be retracted
+    std::map<upstream_incarnation, time_point> m_unresponsive_since;  ///< the same; recent ones
+    std::set<upstream_incarnation> m_unreported_incarnations;  ///< the same; not yet reported
+    good_runs m_good_runs;                                     ///< the same
+    std::size_t m_granted = 0;       ///< the same; number of exclusive grants
+    bool m_has_no_registry = false;  ///< the same; no registry is reachable
     upstream_probe m_probe;
 };
 
@@ -118,18 +118,18 @@
     const wire_format& m_format;
     incarnation m_incarnation;
     gateway_metrics m_metrics;
-    book_holder m_book;
+    configuration_holder m_book;
     entry::pool_table m_pools;
-    crash_watch m_crashes;
+    crash_tracker m_crashes;
     upstream_table m_upstreams;
     std::mutex
-        m_update_mutex;  ///< held while an upstream is read from the table and shown to pools
+        m_update_mutex;  ///< held while an upstream is read from the table and passed to the pools
     request_list m_requests;
     held_calls m_held;
     registrar::registry_feed m_feed;
     std::atomic<std::uint64_t> m_last_ticket = 0;
     std::mutex m_random_mutex;
-    random_engine m_random;  ///< under m_random_mutex
+    random_engine m_random;  ///< guarded by m_random_mutex
 };
 
 }  // namespace dewbeam::gateway
--- a/dewbeam/src/gateway/good_runs.cpp
+++ b/dewbeam/src/gateway/good_runs.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Bounds what a content that once ran well and now ends upstreams may cost.
+/// Bounds the number of crashes that a content may cause after it ran successfully before.
 constexpr std::uint32_t most_of_one_content = 4;
 constexpr std::size_t most_young = 4096;
 
--- a/dewbeam/src/gateway/good_runs.h
+++ b/dewbeam/src/gateway/good_runs.h
@@ -1,6 +1,6 @@
 /// \file
-/// Contents that ran to their end lately. One that many callers send runs wherever an upstream
-/// ends, and is told from one that ends upstreams by its good runs.
+/// Contents that recently ran successfully. A content that many callers send is often running where
+/// an upstream crashes; its successful runs distinguish it from a content that causes crashes.
 #pragma once
 
 #include <unordered_map>
@@ -9,16 +9,16 @@
 
 namespace dewbeam::gateway {
 
-/// Bounded: two generations, of which the older one is dropped when the younger one is full.
+/// Bounded by two generations: when the younger one is full, it replaces the older one.
 struct good_runs {
     std::unordered_map<fingerprint, std::uint32_t> m_young;
     std::unordered_map<fingerprint, std::uint32_t> m_old;
 };
 
-/// A run ended well.
+/// Records a successful run.
 void note_good_run(good_runs& runs, fingerprint content);
 
-/// Uses up one run, which speaks against one death of an upstream; false where there is none.
+/// Uses up one successful run, which offsets one crash report. Returns false if there is none.
 bool spend_good_run(good_runs& runs, fingerprint content);
 
 }  // namespace dewbeam::gateway
--- a/dewbeam/src/gateway/held_calls.h
+++ b/dewbeam/src/gateway/held_calls.h
@@ -19,17 +19,17 @@
     caller_call m_call;
     std::shared_ptr<http::exchange> m_answer;
     time_point m_arrival{};
-    time_point m_deadline{};  ///< then it is refused
+    time_point m_deadline{};  ///< the call is refused at this time
     /// The call is routed only by a configuration of at least this revision; 0 means any.
     revisions::revision_number m_required_revision;
 };
 
-/// The calls, in the order of their arrival. Thread-safe. After a start the first configuration is
-/// known within some 0.1 s of the first registry's; a refusal would cost each of these callers one
-/// of its retries, and the time until it comes back.
+/// The calls, in order of arrival. Thread-safe. After startup the first configuration is known
+/// within about 0.1 s of the time that the first registry has it. A refusal would cost each of
+/// these callers one of its retries and the wait until the retry.
 class held_calls {
 public:
-    /// False where too many are held; then `call` is left as it was.
+    /// Returns false, leaving `call` unchanged, if too many calls are held.
     bool add(held_call& call)
     {
         const std::lock_guard lock(m_mutex);
@@ -40,14 +40,14 @@
         return true;
     }
 
-    /// Takes the calls that need no revision newer than `current`.
+    /// Removes and returns the calls that need no revision newer than `current`.
     std::vector<held_call> take_ready(revisions::revision_number current)
     {
         return take([&](const held_call& call) { return call.m_required_revision <= current; });
     }
 
-    /// Takes those whose deadline has come.
-    std::vector<held_call> take_lapsed(time_point now)
+    /// Removes and returns the calls whose deadline has expired.
+    std::vector<held_call> take_expired_calls(time_point now)
     {
         return take([&](const held_call& call) { return call.m_deadline <= now; });
     }
@@ -67,7 +67,7 @@
         return taken;
     }
 
-    /// A gateway's share of 1,300 requests a second over three gateways, for the longest wait.
+    /// One of three gateways' share of 1,300 requests per second, times the maximum wait.
     static constexpr std::size_t most_held = 1000;
 
     std::mutex m_mutex;
--- a/dewbeam/src/gateway/intake.cpp
+++ b/dewbeam/src/gateway/intake.cpp
@@ -9,19 +9,20 @@
 
 namespace {
 
-/// Longest time in the queue, and as a share of what the caller waits in all. Callers of streams
-/// leave when no event has come for two seconds; what goes later than this is lost in any case.
+/// Maximum time in the queue, absolute and as a share of the caller's time limit. Callers of
+/// streams disconnect after two seconds without an event, so a request that is sent later is lost
+/// anyway.
 constexpr time_span longest_wait = std::chrono::milliseconds(1500);
 constexpr double wait_share = 0.4;
-/// Another gateway takes the request of a caller that comes back after so long.
-constexpr time_span return_to_another = std::chrono::milliseconds(100);
-/// A caller that was refused for want of a configuration comes back after so long.
-constexpr time_span return_without_configuration = std::chrono::milliseconds(500);
-/// Share of the latency objective that may pass in the queue. The rest is for the upstream: a first
-/// token takes 0.4 of a usual objective, and 0.6 under load.
+/// Retry-After while this gateway is stopping; another gateway takes the retry.
+constexpr time_span retry_after_when_stopping = std::chrono::milliseconds(100);
+/// Retry-After for a caller that was refused because no configuration is known.
+constexpr time_span retry_after_without_configuration = std::chrono::milliseconds(500);
+/// Share of the latency objective that may be spent in the queue. The rest is left to the upstream:
+/// a first token takes 0.4 of a usual objective, and 0.6 under load.
 constexpr double queue_share = 0.4;
 
-void refuse(http::exchange& answer, const std::string& request_id, const own_error& fault)
+void refuse(http::exchange& answer, const std::string& request_id, const gateway_error& fault)
 {
     log_event(log_level::info, "request_refused",
               {{"request", request_id}, {"status", fault.m_status}, {"code", fault.m_code}});
@@ -32,7 +33,7 @@
 struct admission_result {
     const routes::route* m_route = nullptr;
     const routes::workspace* m_workspace = nullptr;
-    std::optional<own_error> m_fault;
+    std::optional<gateway_error> m_fault;
 };
 
 admission_result admit(const routes::book& rules, const caller_call& call)
@@ -41,7 +42,7 @@
     result.m_route = routes::find_route(rules, call.m_host, call.m_path);
     if (result.m_route == nullptr) {
         result.m_fault =
-            own_error{404, "no_route", "no route serves this host and path", time_span::zero()};
+            gateway_error{404, "no_route", "no route serves this host and path", time_span::zero()};
         return result;
     }
     if (!call.m_key.empty()) {
@@ -49,19 +50,20 @@
     }
     const bool needs_key = !rules.m_workspaces.empty() && !result.m_route->m_allows_anonymous;
     if (needs_key && result.m_workspace == nullptr) {
-        result.m_fault =
-            own_error{401, "unknown_key", "the request carries no valid key", time_span::zero()};
+        result.m_fault = gateway_error{401, "unknown_key", "the request carries no valid key",
+                                       time_span::zero()};
     }
     return result;
 }
 
-/// The longest that a call may wait in all, in the queue or for a configuration.
+/// Maximum total time that a call may wait, in the queue or for a configuration.
 time_span longest_wait_of(time_span time_limit)
 {
     return std::min(longest_wait, std::chrono::duration_cast<time_span>(time_limit * wait_share));
 }
 
-/// Names what upstreams get to see of a request, whoever sends it again.
+/// Fingerprint of what upstreams receive of a request. It is the same for all copies, whichever
+/// caller or gateway sends them.
 fingerprint content_of(const gateway_request::facts& known)
 {
     auto content = stable_hash(known.m_request.m_target, stable_hash(known.m_request.m_method));
@@ -70,7 +72,7 @@
     return fingerprint(combine_hash(content, stable_hash(known.m_pool)));
 }
 
-/// Until when the request can be sent off and still meet its objective.
+/// The latest time at which the request can be sent and still meet its latency objective.
 time_point prompt_deadline(const gateway_request::facts& known)
 {
     const auto objective = known.m_route->m_latency_objective;
@@ -104,7 +106,7 @@
     return info;
 }
 
-const std::string& draw_target(gateway_state& state, const routes::route& subject)
+const std::string& pick_service(gateway_state& state, const routes::route& subject)
 {
     const std::lock_guard lock(state.m_random_mutex);
     return routes::choose_target(subject, state.m_random);
@@ -114,7 +116,7 @@
 {
     refuse(*subject.m_answer, subject.m_call.m_request_id,
            {503, "no_configuration", "the newest configuration has not arrived yet",
-            return_without_configuration});
+            retry_after_without_configuration});
 }
 
 void hold_call(gateway_state& state, held_call subject)
@@ -155,8 +157,8 @@
     return true;
 }
 
-/// Gives a request to its pool. A caller that leaves meanwhile cancels the ticket once more here:
-/// its own cancellation may have come before the broker knew the ticket.
+/// Submits a request to its pool. If the caller disconnects meanwhile, the ticket is cancelled
+/// again here, since the first cancellation may have come before the broker knew the ticket.
 void submit(gateway_state& state, const request_pointer& request, dispatch::request_info info,
             time_point now)
 {
@@ -170,7 +172,7 @@
     }
 }
 
-/// Finds the call's route and workspace, and gives it to the pool of its service.
+/// Finds the call's route and workspace, and submits it to the pool of its service.
 void route_call(gateway_state& state, const std::shared_ptr<const routes::book>& rules,
                 held_call subject, time_point now)
 {
@@ -197,14 +199,15 @@
     known.m_arrival = subject.m_arrival;
     const auto limit = known.m_route->m_time_limit;
     known.m_deadline = known.m_arrival + std::min(limit, known.m_call.m_time_limit.value_or(limit));
-    const auto& service = draw_target(state, *known.m_route);
+    const auto& service = pick_service(state, *known.m_route);
     known.m_pool = pool_name(service);
     known.m_content = content_of(known);
     auto info = to_info(known, service);
     const auto answer = std::move(subject.m_answer);
     const request_pointer request(new gateway_request(std::move(known), answer));
     state.m_requests.add(request);
-    answer->on_gone([&state, request] { caller_gone(state, request, program::now()); });
+    answer->on_gone(
+        [&state, request] { handle_caller_disconnect(state, request, program::now()); });
     submit(state, request, std::move(info), now);
 }
 
@@ -222,7 +225,7 @@
     }
     if (!state.m_frame.takes_requests(now)) {
         refuse(*answer, call->m_request_id,
-               {503, "stopping", "this gateway is about to stop", return_to_another});
+               {503, "stopping", "this gateway is about to stop", retry_after_when_stopping});
         return;
     }
     held_call subject{std::move(wanted), *std::move(call), answer, now, {}, {}};
@@ -232,7 +235,7 @@
     }
     hold_call(state, std::move(subject));
     if (state.m_book.current()) {
-        release_held_calls(state);  // it came in the meantime
+        release_held_calls(state);  // a configuration arrived in the meantime
     }
 }
 
@@ -248,17 +251,18 @@
     }
 }
 
-void refuse_lapsed_calls(gateway_state& state, time_point now)
+void refuse_expired_calls(gateway_state& state, time_point now)
 {
-    for (const auto& subject : state.m_held.take_lapsed(now)) {
+    for (const auto& subject : state.m_held.take_expired_calls(now)) {
         refuse_pending_call(subject);
     }
 }
 
-void give_up_all(gateway_state& state, time_point now)
+void fail_all_requests(gateway_state& state, time_point now)
 {
     for (const auto& request : state.m_requests.all()) {
-        give_up(state, request, {503, "stopping", "this gateway stops", return_to_another}, now);
+        give_up(state, request, {503, "stopping", "this gateway stops", retry_after_when_stopping},
+                now);
     }
 }
 
--- a/dewbeam/src/gateway/loss_watch.cpp
+++ b/dewbeam/src/gateway/loss_watch.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void note_loss(loss_watch& watch, const upstream_life& where, const lost_attempt& loss)
+void note_loss(loss_watch& watch, const upstream_incarnation& where, const lost_attempt& loss)
 {
     auto& losses = watch.m_losses[where];
     const bool is_known = std::any_of(losses.begin(), losses.end(), [&](const lost_attempt& known) {
@@ -21,7 +21,7 @@
     }
 }
 
-std::vector<lost_attempt> take_losses(loss_watch& watch, const upstream_life& where)
+std::vector<lost_attempt> take_losses(loss_watch& watch, const upstream_incarnation& where)
 {
     const auto place = watch.m_losses.find(where);
     if (place == watch.m_losses.end()) {
@@ -32,7 +32,7 @@
     return result;
 }
 
-void forget_losses(loss_watch& watch, const upstream_life& where, time_point seen_at)
+void forget_losses(loss_watch& watch, const upstream_incarnation& where, time_point seen_at)
 {
     const auto place = watch.m_losses.find(where);
     if (place == watch.m_losses.end()) {
@@ -50,12 +50,13 @@
     std::erase_if(watch.m_losses, [&](const auto& item) { return item.first.m_upstream == name; });
 }
 
-std::vector<upstream_life> earlier_lives(const loss_watch& watch, const upstream_life& current)
+std::vector<upstream_incarnation> earlier_incarnations(const loss_watch& watch,
+                                                       const upstream_incarnation& current)
 {
-    std::vector<upstream_life> result;
-    for (const auto& [life, losses] : watch.m_losses) {
-        if (life.m_upstream == current.m_upstream && life != current) {
-            result.push_back(life);
+    std::vector<upstream_incarnation> result;
+    for (const auto& [process, losses] : watch.m_losses) {
+        if (process.m_upstream == current.m_upstream && process != current) {
+            result.push_back(process);
         }
     }
     return result;
@@ -63,7 +64,7 @@
 
 void expire(loss_watch& watch, time_span kept_for, time_point now)
 {
-    for (auto& [life, losses] : watch.m_losses) {
+    for (auto& [process, losses] : watch.m_losses) {
         std::erase_if(losses,
                       [&](const lost_attempt& loss) { return loss.m_lost_at + kept_for <= now; });
     }
--- a/dewbeam/src/gateway/loss_watch.h
+++ b/dewbeam/src/gateway/loss_watch.h
@@ -1,6 +1,6 @@
 /// \file
-/// Attempts that ended without an answer, by the upstream's life that they ran in, until it is
-/// known whether that life was over.
+/// Attempts that ended without a complete answer, by the incarnation of the upstream that ran them,
+/// until it is known whether that process crashed.
 #pragma once
 
 #include <compare>
@@ -12,42 +12,43 @@
 
 namespace dewbeam::gateway {
 
-/// One process of an upstream.
-struct upstream_life {
+/// One process (incarnation) of an upstream.
+struct upstream_incarnation {
     upstream_id m_upstream;
     incarnation m_incarnation;
 
-    friend auto operator<=>(const upstream_life&, const upstream_life&) = default;
+    friend auto operator<=>(const upstream_incarnation&, const upstream_incarnation&) = default;
 };
 
-/// An attempt that ended without a whole answer.
+/// An attempt that ended without a complete answer.
 struct lost_attempt {
     fingerprint m_content;
     std::string m_pool;
-    std::uint32_t m_order = 0;  ///< of the death, if it was one; see quarantine::death
+    std::uint32_t m_order = 0;  ///< of the crash report, if it was a crash; see `quarantine::death`
     time_point m_lost_at{};
 };
 
 struct loss_watch {
-    std::map<upstream_life, std::vector<lost_attempt>> m_losses;  ///< none is empty
+    std::map<upstream_incarnation, std::vector<lost_attempt>> m_losses;  ///< no list is empty
 };
 
-/// Notes a loss; further ones of the same content in the same life add nothing.
-void note_loss(loss_watch& watch, const upstream_life& where, const lost_attempt& loss);
+/// Records a loss. Further losses of the same content in the same incarnation are ignored.
+void note_loss(loss_watch& watch, const upstream_incarnation& where, const lost_attempt& loss);
 
-/// The life is over: gives its losses, and forgets them.
-std::vector<lost_attempt> take_losses(loss_watch& watch, const upstream_life& where);
+/// Removes and returns the losses of an incarnation that has ended.
+std::vector<lost_attempt> take_losses(loss_watch& watch, const upstream_incarnation& where);
 
-/// The upstream was found alive: forgets what was lost there before `seen_at`.
-void forget_losses(loss_watch& watch, const upstream_life& where, time_point seen_at);
+/// Removes the losses before `seen_at`, a time at which the process was found alive.
+void forget_losses(loss_watch& watch, const upstream_incarnation& where, time_point seen_at);
 
-/// Forgets losses of an upstream whatever its life, since it left as planned.
+/// Removes the losses of all incarnations of an upstream that left as planned.
 void forget_upstream(loss_watch& watch, const upstream_id& name);
 
-/// Lives of an upstream other than `current` that have losses.
-std::vector<upstream_life> earlier_lives(const loss_watch& watch, const upstream_life& current);
+/// Incarnations of an upstream, other than `current`, that have losses.
+std::vector<upstream_incarnation> earlier_incarnations(const loss_watch& watch,
+                                                       const upstream_incarnation& current);
 
-/// Forgets losses that are older than `kept_for`.
+/// Removes losses that are at least `kept_for` old.
 void expire(loss_watch& watch, time_span kept_for, time_point now);
 
 }  // namespace dewbeam::gateway
--- a/dewbeam/src/gateway/upstream_probe.cpp
+++ b/dewbeam/src/gateway/upstream_probe.cpp
@@ -16,11 +16,11 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-constexpr std::chrono::milliseconds answer_limit{400};
+constexpr std::chrono::milliseconds probe_timeout{400};
 
 /// One connection that is being opened.
-struct question {
-    explicit question(asio::io_context& context)
+struct probe_connection {
+    explicit probe_connection(asio::io_context& context)
         : m_strand(asio::make_strand(context)), m_socket(m_strand), m_timer(m_strand)
     {
     }
@@ -28,7 +28,7 @@
     asio::strand<asio::io_context::executor_type> m_strand;
     tcp::socket m_socket;
     asio::steady_timer m_timer;
-    bool m_is_over = false;  ///< used on the strand alone
+    bool m_is_over = false;  ///< used only on the strand
 };
 
 probe_result to_result(const boost::system::error_code& error)
@@ -50,7 +50,7 @@
 
     void open(const tcp::endpoint& target)
     {
-        const auto item = std::make_shared<question>(m_context);
+        const auto item = std::make_shared<probe_connection>(m_context);
         const auto end = [self = shared_from_this(), item, target](probe_result result) {
             if (std::exchange(item->m_is_over, true)) {
                 return;
@@ -61,7 +61,7 @@
             self->answer(target, result);
         };
         asio::post(item->m_strand, [item, target, end] {
-            item->m_timer.expires_after(answer_limit);
+            item->m_timer.expires_after(probe_timeout);
             item->m_timer.async_wait([end](const boost::system::error_code& error) {
                 if (!error) {
                     end(probe_result::no_answer);
@@ -87,7 +87,7 @@
 
     asio::io_context& m_context;
     std::mutex m_mutex;
-    std::map<tcp::endpoint, callbacks> m_waiting;  ///< by address that is being asked
+    std::map<tcp::endpoint, callbacks> m_waiting;  ///< by the address that is being probed
 };
 
 upstream_probe::upstream_probe(asio::io_context& context)
--- a/dewbeam/src/gateway/upstream_probe.h
+++ b/dewbeam/src/gateway/upstream_probe.h
@@ -1,5 +1,5 @@
 /// \file
-/// Asks whether something listens at an upstream's address, by opening a connection.
+/// Checks whether a process listens at an upstream's address, by opening a connection.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,12 +11,12 @@
 namespace dewbeam::gateway {
 
 enum class probe_result {
-    accepted,   ///< something listens
-    refused,    ///< the host answers that nothing does: the process is over
-    no_answer,  ///< the host, or the way there, says nothing
+    accepted,   ///< a process listens
+    refused,    ///< the host reports that no process listens, so the process has ended
+    no_answer,  ///< no reply from the host, or the network failed
 };
 
-/// Questions to one address at a time: who asks meanwhile gets the same result. Thread-safe.
+/// Runs one probe per address at a time; calls made meanwhile share its result. Thread-safe.
 class upstream_probe {
 public:
     explicit upstream_probe(boost::asio::io_context& context);
@@ -26,10 +26,10 @@
     upstream_probe(upstream_probe&&) = delete;
     upstream_probe& operator=(upstream_probe&&) = delete;
 
-    /// Calls back once, from one of the context's threads, within half a second.
+    /// Probes an address. Calls back once, from one of the context's threads, within half a second.
     void ask(const endpoint& address, std::function<void(probe_result)> done);
 
-    /// Calls back after a time.
+    /// Calls back after `span`.
     void wait(time_span span, std::function<void()> done);
 
 private:
--- a/dewbeam/src/gateway/upstream_table.cpp
+++ b/dewbeam/src/gateway/upstream_table.cpp
@@ -10,11 +10,12 @@
 namespace {
 
 constexpr const char* service_label = "service";
-/// A silent upstream that answered is used for so long: about as long as its silence takes to be
-/// noticed, so that one that only the registries can't hear stays in use.
-constexpr time_span trust_after_answer = std::chrono::seconds(4);
-/// A rank that is slower than this holds up its whole group with what it is given.
-constexpr double slow_pace = 1.5;
+/// How long an unresponsive upstream is used after its last complete answer. It is about the time
+/// that the registries take to find an upstream unresponsive, so that one that only they can't
+/// contact stays in use.
+constexpr time_span lease_after_answer = std::chrono::seconds(4);
+/// A rank with at least this slowdown delays its whole group with the work it is given.
+constexpr double slow_rank_threshold = 1.5;
 constexpr double most_avoided_share = 0.34;
 
 }  // namespace
@@ -38,17 +39,17 @@
 {
 }
 
-void upstream_table::put(const registry::announcement& known, bool is_silent)
+void upstream_table::put(const registry::announcement& known, bool is_unresponsive)
 {
     const std::lock_guard lock(m_mutex);
     auto& place = m_items[known.m_name];
-    // Connections to an earlier incarnation lead nowhere, and some never say so.
+    // Connections to an earlier incarnation are dead, and some never report an error.
     if (!place.m_client || place.m_known.m_address != known.m_address ||
         place.m_known.m_incarnation != known.m_incarnation) {
         place.m_client = std::make_shared<http::client>(m_context, known.m_address, m_options);
     }
     place.m_known = known;
-    place.m_is_silent = is_silent;
+    place.m_is_silent = is_unresponsive;
 }
 
 void upstream_table::remove(const upstream_id& name)
@@ -93,15 +94,15 @@
     result.m_is_stalled = is_broken || subject.m_is_avoided;
     result.m_report.m_skew = subject.m_pace;
     if (subject.m_is_silent) {
-        result.m_lease_deadline = subject.m_answered_at + trust_after_answer;
+        result.m_lease_deadline = subject.m_answered_at + lease_after_answer;
     }
     const auto limit = m_limits.m_limits.find(name);
     if (limit != m_limits.m_limits.end() &&
         limit->second.m_incarnation == subject.m_known.m_incarnation) {
         result.m_rate_limit = limit->second.m_per_second;
     }
-    if (subject.m_others_at != time_point{}) {
-        result.m_report.m_running = subject.m_others + subject.m_in_flight;
+    if (subject.m_other_gateways_load_at != time_point{}) {
+        result.m_report.m_running = subject.m_other_gateways_load + subject.m_in_flight;
         result.m_report.m_measured_at = now;
     }
     return result;
@@ -153,7 +154,7 @@
     return place == m_items.end() ? time_point{} : place->second.m_heard_at;
 }
 
-bool upstream_table::was_neighbour_heard(const upstream_id& name, time_point since) const
+bool upstream_table::has_neighbour_answered(const upstream_id& name, time_point since) const
 {
     const std::lock_guard lock(m_mutex);
     const auto place = m_items.find(name);
@@ -168,8 +169,8 @@
     });
 }
 
-bool upstream_table::do_neighbours_announce(const upstream_id& name,
-                                            const std::set<upstream_id>& fell_silent) const
+bool upstream_table::do_neighbours_announce(
+    const upstream_id& name, const std::set<upstream_id>& recently_unresponsive) const
 {
     const std::lock_guard lock(m_mutex);
     const auto place = m_items.find(name);
@@ -184,22 +185,22 @@
             continue;
         }
         announcing += subject.m_is_silent ? 0 : 1;
-        silent += subject.m_is_silent && fell_silent.contains(other) ? 1 : 0;
+        silent += subject.m_is_silent && recently_unresponsive.contains(other) ? 1 : 0;
     }
     return announcing > silent;
 }
 
-bool upstream_table::is_silent(const upstream_id& name) const
+bool upstream_table::is_unresponsive(const upstream_id& name) const
 {
     const std::lock_guard lock(m_mutex);
     const auto place = m_items.find(name);
     return place != m_items.end() && place->second.m_is_silent;
 }
 
-std::vector<upstream_life> upstream_table::at_address(const endpoint& address) const
+std::vector<upstream_incarnation> upstream_table::at_address(const endpoint& address) const
 {
     const std::lock_guard lock(m_mutex);
-    std::vector<upstream_life> result;
+    std::vector<upstream_incarnation> result;
     for (const auto& [name, subject] : m_items) {
         if (subject.m_known.m_address == address) {
             result.push_back({name, subject.m_known.m_incarnation});
@@ -208,51 +209,52 @@
     return result;
 }
 
-void upstream_table::set_others(const upstream_id& name, std::uint32_t in_flight, time_point now)
+void upstream_table::set_other_gateways_load(const upstream_id& name, std::uint32_t in_flight,
+                                             time_point now)
 {
     const std::lock_guard lock(m_mutex);
     const auto place = m_items.find(name);
     if (place != m_items.end()) {
-        place->second.m_others = in_flight;
-        place->second.m_others_at = now;
+        place->second.m_other_gateways_load = in_flight;
+        place->second.m_other_gateways_load_at = now;
     }
 }
 
-void upstream_table::set_paces(const std::map<upstream_id, double>& paces)
+void upstream_table::set_slowdowns(const std::map<upstream_id, double>& slowdowns)
 {
     const std::lock_guard lock(m_mutex);
     std::map<std::string, std::size_t> members;
     std::map<std::string, std::size_t> slow;
     for (auto& [name, subject] : m_items) {
-        const auto place = paces.find(name);
-        subject.m_pace = place == paces.end() ? 1.0 : place->second;
+        const auto place = slowdowns.find(name);
+        subject.m_pace = place == slowdowns.end() ? 1.0 : place->second;
         ++members[subject.m_known.m_service];
-        slow[subject.m_known.m_service] += subject.m_pace >= slow_pace ? 1 : 0;
+        slow[subject.m_known.m_service] += subject.m_pace >= slow_rank_threshold ? 1 : 0;
     }
     for (auto& [name, subject] : m_items) {
         const auto& service = subject.m_known.m_service;
         const auto most = most_avoided_share * static_cast<double>(members[service]);
         const bool has_others = static_cast<double>(slow[service]) <= most;
-        subject.m_is_avoided = has_others && subject.m_pace >= slow_pace;
+        subject.m_is_avoided = has_others && subject.m_pace >= slow_rank_threshold;
     }
 }
 
-bool upstream_table::note_limit(const permits::rate_limit& heard)
+bool upstream_table::note_limit(const permits::rate_limit& received)
 {
     const std::lock_guard lock(m_mutex);
-    return permits::note_limit(m_limits, heard);
+    return permits::note_limit(m_limits, received);
 }
 
-bool upstream_table::note_no_limit(const upstream_id& name, incarnation life, time_point sent_at,
-                                   time_point now)
+bool upstream_table::note_no_limit(const upstream_id& name, incarnation target_incarnation,
+                                   time_point sent_at, time_point now)
 {
     const std::lock_guard lock(m_mutex);
     const auto place = m_limits.m_limits.find(name);
     if (place == m_limits.m_limits.end() || !place->second.m_per_second ||
-        place->second.m_incarnation != life || place->second.m_heard_at >= sent_at) {
+        place->second.m_incarnation != target_incarnation || place->second.m_heard_at >= sent_at) {
         return false;
     }
-    return permits::note_limit(m_limits, {name, life, std::nullopt, now});
+    return permits::note_limit(m_limits, {name, target_incarnation, std::nullopt, now});
 }
 
 std::vector<permits::rate_limit> upstream_table::limits(time_point now)
--- a/dewbeam/src/gateway/upstream_table.h
+++ b/dewbeam/src/gateway/upstream_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// The upstreams that a gateway may send to, each with its connections.
+/// The upstreams that a gateway may send requests to, each with its connections.
 #pragma once
 
 #include <map>
@@ -17,7 +17,7 @@
 
 namespace dewbeam::gateway {
 
-/// Where a request goes.
+/// Where a request is sent.
 struct destination {
     std::shared_ptr<http::client> m_client;
     failure_domain_id m_failure_domain;
@@ -26,7 +26,7 @@
     bool m_is_leaving = false;
 };
 
-/// What the gateway has under way at an upstream.
+/// This gateway's requests in flight at an upstream.
 struct upstream_load {
     upstream_id m_name;
     std::string m_pool;
@@ -38,58 +38,58 @@
 public:
     upstream_table(boost::asio::io_context& context, http::client_options options);
 
-    /// An upstream is new or changed.
-    void put(const registry::announcement& known, bool is_silent);
+    /// Adds or updates an upstream.
+    void put(const registry::announcement& known, bool is_unresponsive);
 
-    /// An upstream is gone; what runs there goes on to its end.
+    /// Removes an upstream that has exited. Requests in flight there continue to their end.
     void remove(const upstream_id& name);
 
-    /// Where its requests go; no client where it isn't known.
+    /// Where its requests are sent; without a client if the upstream is unknown.
     [[nodiscard]] destination find(const upstream_id& name) const;
 
-    /// What the broker needs to know of an upstream; nothing where it isn't known.
+    /// The state of an upstream for the broker; empty if the upstream is unknown.
     [[nodiscard]] std::optional<dispatch::upstream_info> info(const upstream_id& name,
                                                               time_point now) const;
 
-    /// Its pool; empty where it isn't known.
+    /// Its pool; empty if the upstream is unknown.
     [[nodiscard]] std::string pool_of(const upstream_id& name) const;
 
     void begin_attempt(const upstream_id& name);
     void end_attempt(const upstream_id& name, bool has_answered, time_point now);
 
-    /// The upstream answered something.
+    /// Records the head of an answer from the upstream.
     void note_heard(const upstream_id& name, time_point now);
 
-    /// When that was last.
+    /// When the upstream last answered; epoch if it never did or is unknown.
     [[nodiscard]] time_point heard_at(const upstream_id& name) const;
 
-    /// Whether another upstream of its service in its failure domain has answered since then.
-    [[nodiscard]] bool was_neighbour_heard(const upstream_id& name, time_point since) const;
+    /// Whether another upstream of its service in its failure domain has answered since `since`.
+    [[nodiscard]] bool has_neighbour_answered(const upstream_id& name, time_point since) const;
 
-    /// Whether it is silent, and of the other upstreams of its failure domain more announce
-    /// themselves than fell silent lately.
-    [[nodiscard]] bool do_neighbours_announce(const upstream_id& name,
-                                              const std::set<upstream_id>& fell_silent) const;
+    /// Whether it is unresponsive while, among the other upstreams of its failure domain, more
+    /// announce themselves than recently became unresponsive.
+    [[nodiscard]] bool do_neighbours_announce(
+        const upstream_id& name, const std::set<upstream_id>& recently_unresponsive) const;
 
-    [[nodiscard]] bool is_silent(const upstream_id& name) const;
+    [[nodiscard]] bool is_unresponsive(const upstream_id& name) const;
 
     /// Upstreams at an address.
-    [[nodiscard]] std::vector<upstream_life> at_address(const endpoint& address) const;
+    [[nodiscard]] std::vector<upstream_incarnation> at_address(const endpoint& address) const;
 
-    /// The other gateways' requests under way there.
-    void set_others(const upstream_id& name, std::uint32_t in_flight, time_point now);
+    /// Sets the number of requests that the other gateways have in flight at the upstream.
+    void set_other_gateways_load(const upstream_id& name, std::uint32_t in_flight, time_point now);
 
-    /// Which upstreams are slow, as the agents beside them say; the others are not.
-    void set_paces(const std::map<upstream_id, double>& paces);
+    /// Sets the slowdowns that the agents beside the upstreams report; all others get 1.0.
+    void set_slowdowns(const std::map<upstream_id, double>& slowdowns);
 
     /// Records a limit or its end.
     /// \returns whether the limit changed
-    bool note_limit(const permits::rate_limit& heard);
+    bool note_limit(const permits::rate_limit& received);
 
     /// Records an answer without a limit to a request sent at `sent_at`. This ends a limit that was
-    /// heard before then; a later one stays, as the answer may be older.
+    /// received before then; a later limit stays, since the answer may be older.
     /// \returns whether a limit ended
-    bool note_no_limit(const upstream_id& name, incarnation life, time_point sent_at,
+    bool note_no_limit(const upstream_id& name, incarnation target_incarnation, time_point sent_at,
                        time_point now);
 
     /// The known limits, including those that ended recently.
@@ -97,7 +97,7 @@
 
     [[nodiscard]] std::vector<upstream_load> loads() const;
 
-    /// Names of silent ones: how long they may be used depends on when they answered last.
+    /// Names of the unresponsive upstreams. How long they may be used depends on their last answer.
     [[nodiscard]] std::vector<upstream_id> silent() const;
 
     [[nodiscard]] std::size_t size() const;
@@ -108,10 +108,10 @@
         std::shared_ptr<http::client> m_client;
         bool m_is_silent = false;
         std::uint32_t m_in_flight = 0;
-        std::uint32_t m_others = 0;
-        time_point m_others_at{};
-        time_point m_answered_at{};  ///< the end of an answer
-        time_point m_heard_at{};     ///< the head of an answer
+        std::uint32_t m_other_gateways_load = 0;
+        time_point m_other_gateways_load_at{};
+        time_point m_answered_at{};  ///< the end of the last complete answer
+        time_point m_heard_at{};     ///< the head of the last answer
         double m_pace = 1.0;
         bool m_is_avoided = false;  ///< slow, while enough others of its service are not
     };
--- a/test/crash_content_test.cpp
+++ b/test/crash_content_test.cpp
@@ -1,4 +1,5 @@
-// A content that ends upstreams, and those that only stood beside it, in virtual time.
+// Guards against quarantining contents that only ran beside one that crashes upstreams, and against
+// too many crashes before the cause is quarantined. Runs in virtual time.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -29,24 +30,26 @@
     return table;
 }
 
-/// A death under a run that knew of all deaths of lower orders.
-death death_of_run(const std::string& upstream, time_point at, std::uint32_t order)
+/// A crash report of a run that started when all crashes of lower order were known.
+death crash_report_of_run(const std::string& upstream, time_point at, std::uint32_t order)
 {
-    death how{upstream_id(upstream), incarnation{1}, at, false};
-    how.m_order = order;
-    return how;
+    death crash{upstream_id(upstream), incarnation{1}, at, false};
+    crash.m_order = order;
+    return crash;
 }
 
 TEST(crash_content, deaths_of_runs_side_by_side_count_once)
 {
     auto table = make_table();
     for (const auto* name : {"u1", "u2", "u3", "u4"}) {
-        note_death(table, content, death_of_run(name, start + seconds(5), 1));
+        note_death(table, content, crash_report_of_run(name, start + seconds(5), 1));
     }
     EXPECT_EQ(standing_of(table, content, start + seconds(6)), standing::suspect);
     EXPECT_EQ(deaths_of(table, content, start + seconds(6)), 1U);
-    note_death(table, content, death_of_run("u5", start + seconds(8), next_order(table, content)));
-    note_death(table, content, death_of_run("u6", start + seconds(10), next_order(table, content)));
+    note_death(table, content,
+               crash_report_of_run("u5", start + seconds(8), next_order(table, content)));
+    note_death(table, content,
+               crash_report_of_run("u6", start + seconds(10), next_order(table, content)));
     EXPECT_EQ(standing_of(table, content, start + seconds(10)), standing::quarantined);
 }
 
@@ -56,8 +59,8 @@
     EXPECT_FALSE(outweigh(table, content, start).has_value());
     for (int i = 1; i <= 3; ++i) {
         note_death(table, content,
-                   death_of_run("u" + std::to_string(i), start + seconds(2 * i),
-                                next_order(table, content)));
+                   crash_report_of_run("u" + std::to_string(i), start + seconds(2 * i),
+                                       next_order(table, content)));
     }
     EXPECT_EQ(standing_of(table, content, start + seconds(6)), standing::quarantined);
     ASSERT_TRUE(outweigh(table, content, start + seconds(6)).has_value());
@@ -71,58 +74,58 @@
 TEST(crash_content, doubtful_deaths_hold_a_content_until_the_doubt_is_over)
 {
     auto table = make_table();
-    auto how = death_of_run("u1", start + seconds(2), 1);
-    how.m_is_doubtful = true;
-    note_death(table, content, how);
+    auto crash = crash_report_of_run("u1", start + seconds(2), 1);
+    crash.m_is_doubtful = true;
+    note_death(table, content, crash);
     EXPECT_EQ(standing_of(table, content, start + seconds(2)), standing::suspect);
-    how = death_of_run("u2", start + seconds(4), 2);
-    how.m_is_doubtful = true;
-    note_death(table, content, how);
+    crash = crash_report_of_run("u2", start + seconds(4), 2);
+    crash.m_is_doubtful = true;
+    note_death(table, content, crash);
     EXPECT_EQ(standing_of(table, content, start + seconds(4)), standing::quarantined);
     const auto over = ends_at(table, content, start + seconds(4));
     EXPECT_EQ(over, start + seconds(12));
     EXPECT_EQ(standing_of(table, content, over), standing::clear);
-    how.m_is_doubtful = false;  // the second upstream did end
-    note_death(table, content, how);
+    crash.m_is_doubtful = false;  // the second upstream did crash
+    note_death(table, content, crash);
     EXPECT_EQ(standing_of(table, content, over), standing::suspect);
 }
 
 TEST(crash_content, a_good_run_outweighs_a_doubtful_death_also_once_it_is_certain)
 {
     auto table = make_table();
-    auto how = death_of_run("u1", start + seconds(2), 1);
-    how.m_is_doubtful = true;
-    note_death(table, content, how);
+    auto crash = crash_report_of_run("u1", start + seconds(2), 1);
+    crash.m_is_doubtful = true;
+    note_death(table, content, crash);
     ASSERT_TRUE(outweigh(table, content, start + seconds(3)).has_value());
     EXPECT_EQ(standing_of(table, content, start + seconds(3)), standing::clear);
-    how.m_is_doubtful = false;
-    note_death(table, content, how);
+    crash.m_is_doubtful = false;
+    note_death(table, content, crash);
     EXPECT_EQ(standing_of(table, content, start + seconds(3)), standing::clear);
 }
 
 TEST(crash_content, news_are_what_is_not_known_whatever_the_time_on_the_way)
 {
     auto table = make_table();
-    quarantine::suspicion record{content, {death_of_run("u1", start + seconds(2), 1)}};
+    quarantine::suspicion record{content, {crash_report_of_run("u1", start + seconds(2), 1)}};
     ASSERT_TRUE(news_of(table, record).has_value());
     merge(table, record);
     record.m_deaths[0].m_at += milliseconds(30);
     EXPECT_FALSE(news_of(table, record).has_value());
     record.m_deaths[0].m_is_outweighed = true;
-    const auto news = news_of(table, record);
-    ASSERT_TRUE(news.has_value());
-    EXPECT_EQ(news->m_deaths[0].m_at, start + seconds(2));
+    const auto changes = news_of(table, record);
+    ASSERT_TRUE(changes.has_value());
+    EXPECT_EQ(changes->m_deaths[0].m_at, start + seconds(2));
 }
 
 TEST(crash_content, losses_are_known_by_the_life_of_the_upstream)
 {
     gateway::loss_watch watch;
-    const gateway::upstream_life first{upstream_id("u"), incarnation{1}};
-    const gateway::upstream_life second{upstream_id("u"), incarnation{2}};
+    const gateway::upstream_incarnation first{upstream_id("u"), incarnation{1}};
+    const gateway::upstream_incarnation second{upstream_id("u"), incarnation{2}};
     note_loss(watch, first, {content, "p", 1, start + seconds(1)});
     note_loss(watch, first, {content, "p", 1, start + seconds(2)});
     note_loss(watch, first, {fingerprint{8}, "p", 1, start + seconds(3)});
-    EXPECT_EQ(earlier_lives(watch, second), std::vector{first});
+    EXPECT_EQ(earlier_incarnations(watch, second), std::vector{first});
     forget_losses(watch, first, start + seconds(2));
     EXPECT_TRUE(take_losses(watch, second).empty());
     const auto left = take_losses(watch, first);
@@ -185,7 +188,7 @@
     EXPECT_EQ(set_wanted_turns(board, a, {content}, start + seconds(3)).size(), 1U);
 }
 
-/// A broker whose suspects take turns, with two upstreams of many places.
+/// A broker that runs suspects only with an exclusive grant, with two upstreams of many slots.
 class crash_content_turns : public testing::Test {
 protected:
     crash_content_turns()
@@ -212,12 +215,13 @@
         return submit(m_broker, info, m_now, m_random);
     }
 
-    void note_deaths(std::uint32_t count)
+    void report_crashes(std::uint32_t count)
     {
         for (std::uint32_t order = 1; order <= count; ++order) {
-            merge_suspicion(m_broker,
-                            {content, {death_of_run("x" + std::to_string(order), m_now, order)}},
-                            m_now, m_random);
+            merge_suspicion(
+                m_broker,
+                {content, {crash_report_of_run("x" + std::to_string(order), m_now, order)}}, m_now,
+                m_random);
         }
     }
 
@@ -233,7 +237,7 @@
 
 TEST_F(crash_content_turns, copies_run_one_at_a_time_and_others_are_not_held_up)
 {
-    note_deaths(1);
+    report_crashes(1);
     EXPECT_TRUE(send(1, content).empty());
     EXPECT_TRUE(send(2, content).empty());
     EXPECT_EQ(send(3, fingerprint{8}).size(), 1U);
@@ -248,7 +252,7 @@
 
 TEST_F(crash_content_turns, no_other_copy_begins_before_it_is_known_how_the_last_one_ended)
 {
-    note_deaths(1);
+    report_crashes(1);
     send(1, content);
     ASSERT_EQ(grant({content}).size(), 1U);
     EXPECT_TRUE(send(2, content).empty());
@@ -259,19 +263,19 @@
 
 TEST_F(crash_content_turns, what_waits_goes_at_once_where_a_good_run_speaks_for_it)
 {
-    note_deaths(1);
+    report_crashes(1);
     EXPECT_TRUE(send(1, content).empty());
-    auto how = death_of_run("x1", m_now, 1);
-    how.m_is_outweighed = true;
-    EXPECT_EQ(merge_suspicion(m_broker, {content, {how}}, m_now, m_random).size(), 1U);
+    auto crash = crash_report_of_run("x1", m_now, 1);
+    crash.m_is_outweighed = true;
+    EXPECT_EQ(merge_suspicion(m_broker, {content, {crash}}, m_now, m_random).size(), 1U);
 }
 
 TEST_F(crash_content_turns, what_is_quarantined_is_refused_at_once_until_then)
 {
-    note_deaths(2);
+    report_crashes(2);
     EXPECT_TRUE(send(1, content).empty());
-    const auto waiting =
-        merge_suspicion(m_broker, {content, {death_of_run("x3", m_now, 3)}}, m_now, m_random);
+    const auto waiting = merge_suspicion(m_broker, {content, {crash_report_of_run("x3", m_now, 3)}},
+                                         m_now, m_random);
     ASSERT_EQ(waiting.size(), 1U);
     EXPECT_EQ(waiting[0].m_refusal, dispatch::refusal::quarantined);
     const auto later = send(2, content);
@@ -282,31 +286,31 @@
 
 TEST_F(crash_content_turns, a_gateway_that_is_cut_off_runs_what_one_upstream_died_of_alone)
 {
-    note_deaths(1);
+    report_crashes(1);
     grant({}, true);
     EXPECT_EQ(send(1, content).at(0).m_kind, dispatch::action::kind::dispatch);
-    note_deaths(2);
+    report_crashes(2);
     EXPECT_EQ(send(2, content).at(0).m_refusal, dispatch::refusal::quarantined);
     grant({}, false);
     EXPECT_TRUE(send(3, content).empty());
 }
 
-/// Gateways and registries that exchange their boards, with delays and losses; copies of one
-/// content arrive everywhere, and each run of it ends an upstream.
-class installation {
+/// Gateways and registries that exchange their suspicion stores, with message delay and loss.
+/// Copies of one content arrive at all gateways, and each run of it crashes an upstream.
+class simulated_deployment {
 public:
-    installation(std::size_t gateways, std::size_t registries, double lost)
-        : m_gateways(gateways), m_registries(registries), m_lost(lost)
+    simulated_deployment(std::size_t gateways, std::size_t registries, double loss_rate)
+        : m_gateways(gateways), m_registries(registries), m_loss_rate(loss_rate)
     {
         for (auto* all : {&m_gateways, &m_registries}) {
             for (auto& item : *all) {
                 item.m_board.m_table.m_options.m_deaths_to_quarantine = 3;
-                item.m_told.assign(std::max(gateways, registries), 0);
+                item.m_delivered_changes.assign(std::max(gateways, registries), 0);
             }
         }
     }
 
-    /// A copy of the content at a gateway; it runs where that gateway may run it.
+    /// A copy of the content arrives at a gateway, which runs it if it may.
     void arrive(std::size_t at)
     {
         auto& self = m_gateways[at];
@@ -314,7 +318,7 @@
         if (where == standing::quarantined || self.m_runs_until != time_point{}) {
             return;
         }
-        self.m_wants_turn = where == standing::suspect;
+        self.m_wants_grant = where == standing::suspect;
         if (where == standing::clear) {
             begin(self);
         }
@@ -336,16 +340,17 @@
     void forget_gateway(std::size_t at) { clear(m_gateways[at], m_registries, at); }
     void forget_registry(std::size_t at) { clear(m_registries[at], m_gateways, at); }
 
-    std::vector<time_point> m_ends;
+    std::vector<time_point> m_crash_times;
     time_point m_now = start + seconds(100);
 
 private:
     struct process {
         registrar::suspicion_board m_board;
-        std::vector<std::uint64_t> m_told;  ///< by the other side's number: own changes
+        std::vector<std::uint64_t>
+            m_delivered_changes;  ///< by index of the peer: last own change delivered to it
         std::uint32_t m_order = 0;
         time_point m_runs_until{};
-        bool m_wants_turn = false;
+        bool m_wants_grant = false;
     };
 
     struct message {
@@ -362,11 +367,11 @@
         const auto options = self.m_board.m_table.m_options;
         self.m_board = {};
         self.m_board.m_table.m_options = options;
-        std::fill(self.m_told.begin(), self.m_told.end(), 0);
+        std::fill(self.m_delivered_changes.begin(), self.m_delivered_changes.end(), 0);
         self.m_runs_until = {};
-        self.m_wants_turn = false;
+        self.m_wants_grant = false;
         for (auto& other : others) {
-            other.m_told[at] = 0;
+            other.m_delivered_changes[at] = 0;
         }
     }
 
@@ -383,16 +388,17 @@
             return;
         }
         self.m_runs_until = {};
-        self.m_wants_turn = false;
-        m_ends.push_back(m_now);
-        death how{upstream_id("u" + std::to_string(m_ends.size())), incarnation{1}, m_now, false};
-        how.m_order = self.m_order;
-        take(self.m_board, {"p", {content, {how}}});
+        self.m_wants_grant = false;
+        m_crash_times.push_back(m_now);
+        death crash{upstream_id("u" + std::to_string(m_crash_times.size())), incarnation{1}, m_now,
+                    false};
+        crash.m_order = self.m_order;
+        take(self.m_board, {"p", {content, {crash}}});
         exchange(at);
     }
 
-    /// A gateway's watches; the first registry grants turns. Its answer carries both the turn and
-    /// what was reported before.
+    /// One exchange of a gateway with all registries. The first registry issues the exclusive
+    /// grants; its answer carries both the grant and the changes reported before.
     void exchange(std::size_t at)
     {
         auto& self = m_gateways[at];
@@ -403,11 +409,11 @@
         copy(self, m_registries[0]);
         copy(m_registries[0], self);
         const bool is_running = self.m_runs_until != time_point{};
-        const std::vector<fingerprint> wanted(self.m_wants_turn || is_running ? 1 : 0, content);
+        const std::vector<fingerprint> wanted(self.m_wants_grant || is_running ? 1 : 0, content);
         const auto granted = set_wanted_turns(
             m_registries[0].m_board, permits::holder_id(std::to_string(at)), wanted, m_now);
         const auto where = standing_of(self.m_board.m_table, content, m_now);
-        if (self.m_wants_turn && !is_running && !granted.empty() && where == standing::suspect) {
+        if (self.m_wants_grant && !is_running && !granted.empty() && where == standing::suspect) {
             begin(self);
         }
     }
@@ -425,16 +431,17 @@
     {
         message item{
             m_now + milliseconds(5 + uniform_below(m_random, 40)), from, to, is_to_gateway, {}, 0};
-        item.m_change = put_changes(self.m_board, self.m_told[to], m_now, item.m_suspicions);
-        if (!item.m_suspicions.empty() && uniform_below(m_random, 1000) >= m_lost * 1000) {
-            m_under_way.push_back(std::move(item));
+        item.m_change =
+            put_changes(self.m_board, self.m_delivered_changes[to], m_now, item.m_suspicions);
+        if (!item.m_suspicions.empty() && uniform_below(m_random, 1000) >= m_loss_rate * 1000) {
+            m_in_transit.push_back(std::move(item));
         }
     }
 
     void deliver()
     {
         std::deque<message> later;
-        for (auto& item : m_under_way) {
+        for (auto& item : m_in_transit) {
             if (item.m_at > m_now) {
                 later.push_back(std::move(item));
                 continue;
@@ -445,25 +452,26 @@
             for (const auto& one : item.m_suspicions) {
                 take(target.m_board, registrar::from_wire(one, m_now));
             }
-            auto& told = source.m_told[item.m_to];
-            told = std::max(told, item.m_change);
+            auto& delivered = source.m_delivered_changes[item.m_to];
+            delivered = std::max(delivered, item.m_change);
         }
-        m_under_way = std::move(later);
+        m_in_transit = std::move(later);
     }
 
     std::vector<process> m_gateways;
     std::vector<process> m_registries;
-    double m_lost;
-    std::deque<message> m_under_way;
+    double m_loss_rate;
+    std::deque<message> m_in_transit;
     random_engine m_random{11};
 };
 
-/// Copies arrive one after the other, at all gateways in turn.
-void send_copies(installation& site, std::size_t gateways, int copies, time_span pause)
+/// Sends copies one after the other, spread over all gateways.
+void send_copies(simulated_deployment& deployment, std::size_t gateways, int copies,
+                 time_span pause)
 {
     for (int i = 0; i < copies; ++i) {
-        site.arrive(static_cast<std::size_t>(i) * 7 % gateways);
-        site.step(pause);
+        deployment.arrive(static_cast<std::size_t>(i) * 7 % gateways);
+        deployment.step(pause);
     }
 }
 
@@ -471,38 +479,38 @@
 
 TEST_P(crash_content_sizes, few_upstreams_end_in_the_whole_installation)
 {
-    for (const double lost : {0.0, 0.3}) {
-        installation site(GetParam(), 5, lost);
-        send_copies(site, GetParam(), 60, milliseconds(400));
-        EXPECT_EQ(site.m_ends.size(), 3U) << lost;
+    for (const double loss_rate : {0.0, 0.3}) {
+        simulated_deployment deployment(GetParam(), 5, loss_rate);
+        send_copies(deployment, GetParam(), 60, milliseconds(400));
+        EXPECT_EQ(deployment.m_crash_times.size(), 3U) << loss_rate;
     }
 }
 
 TEST_P(crash_content_sizes, few_end_where_gateways_and_registries_forget)
 {
-    installation site(GetParam(), 5, 0.1);
+    simulated_deployment deployment(GetParam(), 5, 0.1);
     for (std::size_t i = 0; i < 40; ++i) {
-        site.arrive(i * 7 % GetParam());
-        site.step(milliseconds(200));
-        site.forget_gateway(i % GetParam());
+        deployment.arrive(i * 7 % GetParam());
+        deployment.step(milliseconds(200));
+        deployment.forget_gateway(i % GetParam());
         if (i % 4 == 0) {
-            site.forget_registry(i / 4 % 5);
+            deployment.forget_registry(i / 4 % 5);
         }
-        site.step(milliseconds(200));
+        deployment.step(milliseconds(200));
     }
-    EXPECT_LE(site.m_ends.size(), 6U);
+    EXPECT_LE(deployment.m_crash_times.size(), 6U);
 }
 
 TEST_P(crash_content_sizes, copies_at_all_gateways_at_once_end_one_each_until_they_are_known)
 {
-    installation site(GetParam(), 5, 0.0);
+    simulated_deployment deployment(GetParam(), 5, 0.0);
     for (int wave = 0; wave < 20; ++wave) {
         for (std::size_t i = 0; i < 8; ++i) {
-            site.arrive((i * 5 + static_cast<std::size_t>(wave)) % GetParam());
+            deployment.arrive((i * 5 + static_cast<std::size_t>(wave)) % GetParam());
         }
-        site.step(seconds(1));
+        deployment.step(seconds(1));
     }
-    EXPECT_LE(site.m_ends.size(), 8U + 2U) << "the first wave, and two in turn";
+    EXPECT_LE(deployment.m_crash_times.size(), 8U + 2U) << "the first wave, and two in turn";
 }
 
 INSTANTIATE_TEST_SUITE_P(gateways, crash_content_sizes, testing::Values(8, 42, 150, 420));
--- a/test/intake_test.cpp
+++ b/test/intake_test.cpp
@@ -1,5 +1,5 @@
 // Guards against refusing calls by an outdated configuration while a newer one is being fetched,
-// and against calls whose callers have left: they must not keep a place at an upstream.
+// and against calls of disconnected callers that keep occupying a slot of an upstream.
 #include "dewbeam/src/gateway/intake.h"
 
 #include <gtest/gtest.h>
@@ -82,7 +82,7 @@
         m_state.m_feed.take({"tcp://127.0.0.1:7000", {}}, message, program::now());
     }
 
-    /// An upstream of the service with one place.
+    /// Adds an upstream of the service with one slot.
     void add_upstream(registry::upstream_state phase = registry::upstream_state::ready)
     {
         registry::announcement known;
@@ -144,13 +144,14 @@
 {
     report_newest(2);
     const auto answer = send_call("/new/x");
-    refuse_lapsed_calls(m_state, program::now());
+    refuse_expired_calls(m_state, program::now());
     EXPECT_EQ(answer->m_status, 0);
-    refuse_lapsed_calls(m_state, program::now() + std::chrono::seconds(2));
+    refuse_expired_calls(m_state, program::now() + std::chrono::seconds(2));
     EXPECT_EQ(answer->m_status, 503);
 }
 
-// Guards against a place that stays taken for a call which its caller left before it was submitted.
+// Guards against a slot that stays occupied by a call whose caller disconnected before it was
+// submitted.
 TEST_F(intake, a_call_whose_caller_has_left_keeps_no_place)
 {
     add_upstream();
@@ -173,8 +174,8 @@
     EXPECT_EQ(sent(), 1U);
 }
 
-// Guards against a broker that is left with an older state of an upstream when two threads pass it
-// on at the same time: it would send to an upstream that is leaving, or avoid one that is ready.
+// Guards against a broker that keeps an outdated state of an upstream after two threads updated it
+// concurrently: it would send to an upstream that is leaving, or avoid one that is ready.
 TEST_F(intake, what_the_broker_sees_last_of_an_upstream_is_the_newest)
 {
     constexpr int rounds = 3000;
@@ -191,7 +192,7 @@
         const auto answer = send_call("/old/x");
         sent_while_leaving += m_state.m_pools.in_flight() > 0 ? 1 : 0;
         for (const auto& request : m_state.m_requests.all()) {
-            caller_gone(m_state, request, program::now());
+            handle_caller_disconnect(m_state, request, program::now());
         }
     }
     is_over = true;
--- a/test/lateness_test.cpp
+++ b/test/lateness_test.cpp
@@ -1,4 +1,4 @@
-// What a late answer is put down to.
+// Guards against naming the wrong cause of a late answer.
 #include "dewbeam/src/gateway/lateness.h"
 
 #include <gtest/gtest.h>
