--- a/dewbeam/src/registrar/addresses.cpp
+++ b/dewbeam/src/registrar/addresses.cpp
@@ -35,7 +35,7 @@
          setting_value<std::vector<std::string>>(settings, "/registries/seeds")) {
         auto seed = parse_endpoint(text);
         if (!seed.ok()) {
-            continue;  // the check of the settings refuses such a value
+            continue;  // the validation of the settings rejects such a value
         }
         seed->m_port = port != 0 ? port : seed->m_port;
         result.push_back(std::string(scheme) + to_string(*seed));
--- a/dewbeam/src/registrar/addresses.h
+++ b/dewbeam/src/registrar/addresses.h
@@ -1,5 +1,5 @@
 /// \file
-/// Where registries are found, and the replica ids that stand for their addresses.
+/// Addresses of the registries, and the replica ids derived from them.
 #pragma once
 
 #include <string>
@@ -11,14 +11,14 @@
 
 namespace dewbeam::registrar {
 
-/// Settings `/registries/...`, of registries and of those that follow them.
+/// The settings `/registries/...` of registries and of the programs that follow them.
 std::vector<setting> registry_settings();
 
-/// Link addresses (`tcp://IP:PORT`) of the seeds in the settings.
+/// The link addresses (`tcp://IP:PORT`) of the seeds in the settings.
 std::vector<std::string> registry_addresses(const nlohmann::json& settings);
 
-/// The replica id of a link address with an IPv4 address: the address itself, as a number, so that
-/// every process finds the same id without a list. 0 where the text is no such address.
+/// The replica id of a link address with an IPv4 address: address and port as one number, so that
+/// every process derives the same id without a shared list. 0 if the text is no such address.
 consensus::replica_id id_of(std::string_view link_address);
 
 /// The link address of a replica id.
--- a/dewbeam/src/registrar/announcement_wire.cpp
+++ b/dewbeam/src/registrar/announcement_wire.cpp
@@ -81,18 +81,18 @@
     return result;
 }
 
-registry::merge_result merge(registry::table& state, const wire::AnnouncedUpstream& heard,
+registry::merge_result merge(registry::table& state, const wire::AnnouncedUpstream& received,
                              time_point now)
 {
-    auto announced = from_wire(heard);
+    auto announced = from_wire(received);
     if (!announced.ok()) {
         log_event(
             log_level::warning, "announcement_passed_over",
-            {{"upstream", heard.name()}, {"reason", std::string(announced.status().message())}});
+            {{"upstream", received.name()}, {"reason", std::string(announced.status().message())}});
         return registry::merge_result::nothing;
     }
     const auto result = registry::merge(state, *announced, now);
-    if (!heard.silent()) {
+    if (!received.silent()) {
         return result;
     }
     const auto silenced = registry::merge_silence(state, *announced);
--- a/dewbeam/src/registrar/announcement_wire.h
+++ b/dewbeam/src/registrar/announcement_wire.h
@@ -9,14 +9,15 @@
 
 namespace dewbeam::registrar {
 
-/// A record with what its registry knows of it.
+/// Writes a record; of an ended upstream only name, incarnation, state and sequence number.
 void to_wire(const registry::record& from, wire::AnnouncedUpstream& to);
 
-/// An announcement; an error where its address is none.
+/// Reads an announcement; an error if its address is invalid.
 absl::StatusOr<registry::announcement> from_wire(const wire::AnnouncedUpstream& from);
 
-/// Takes a record of another process into a table.
-registry::merge_result merge(registry::table& state, const wire::AnnouncedUpstream& heard,
+/// Merges a record received from another process into a table. A record with an invalid address is
+/// logged and ignored.
+registry::merge_result merge(registry::table& state, const wire::AnnouncedUpstream& received,
                              time_point now);
 
 }  // namespace dewbeam::registrar
--- a/dewbeam/src/registrar/control_format.h
+++ b/dewbeam/src/registrar/control_format.h
@@ -1,7 +1,7 @@
 /// \file
-/// How operators and upstreams speak to a registry on one kind of installation.
+/// The HTTP interface of a registry for operators and upstreams in one kind of installation.
 ///
-/// The registry decides; a control format only translates.
+/// A control format only parses requests; the registry decides about them.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -14,33 +14,33 @@
 
 namespace dewbeam::registrar {
 
-/// What a call wants.
+/// The purpose of a request.
 enum class call_kind {
     unknown,
-    announce,       ///< an upstream says where it stands
-    withdraw,       ///< an upstream is gone for good
-    put_revision,   ///< an operator sends a whole configuration
-    read_revision,  ///< an operator reads back what is in force
+    announce,       ///< an upstream reports its state
+    withdraw,       ///< an upstream has ended permanently
+    put_revision,   ///< an operator submits a complete configuration
+    read_revision,  ///< an operator reads the current configuration
 };
 
-/// A call, told apart by method and path.
+/// A request, classified by method and path.
 struct control_call {
     call_kind m_kind = call_kind::unknown;
-    upstream_id m_upstream;  ///< of `announce` and `withdraw`
+    upstream_id m_upstream;  ///< set for `announce` and `withdraw`
 };
 
-/// The translation. All functions are pure and thread-safe.
+/// The parsing functions. All are pure and thread-safe.
 struct control_format {
     control_call (*m_classify)(const http::request& wanted) = nullptr;
 
-    /// Reads an announcement; the error names field, value and what is allowed.
+    /// Parses an announcement; the error names the field, its value and what is allowed.
     absl::StatusOr<registry::announcement> (*m_read_announcement)(const upstream_id& name,
                                                                   std::string_view body) = nullptr;
 
-    /// Reads which incarnation withdraws; 0 where the call doesn't say.
+    /// Parses which incarnation is withdrawn; 0 if the request doesn't name one.
     absl::StatusOr<incarnation> (*m_read_withdrawal)(std::string_view body) = nullptr;
 
-    /// Reads and checks a whole configuration; the error names every mistake.
+    /// Parses and validates a complete configuration; the error lists all validation errors.
     absl::StatusOr<routes::book> (*m_read_book)(std::string_view content) = nullptr;
 };
 
--- a/dewbeam/src/registrar/document_fetch.cpp
+++ b/dewbeam/src/registrar/document_fetch.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Registries apply a document within one heartbeat of the log of each other, so the preferred one
+/// All registries apply a document within one heartbeat interval of the log, so the preferred one
 /// normally has it by then.
 constexpr time_span preferred_wait = std::chrono::milliseconds(150);
 constexpr time_span shortest_answer_timeout = std::chrono::seconds(1);
@@ -46,19 +46,19 @@
 std::string next_request(document_fetch& state, const std::vector<document_source>& sources,
                          std::uint64_t seed, bool skip_preferred_wait, time_point now)
 {
-    const bool is_due = state.m_asked.empty() || state.m_answer_deadline <= now;
+    const bool is_due = state.m_requested_from.empty() || state.m_answer_deadline <= now;
     const bool is_available = std::any_of(sources.begin(), sources.end(),
                                           [](const auto& item) { return item.m_has_newer; });
     if (!is_due || !is_available || state.m_not_before > now) {
         return {};
     }
-    const bool was_unanswered = !state.m_asked.empty();
+    const bool was_unanswered = !state.m_requested_from.empty();
     if (state.m_any_source_from == no_deadline) {
         state.m_any_source_from = now + preferred_wait;
     }
     const bool may_use_any =
         skip_preferred_wait || was_unanswered || state.m_any_source_from <= now;
-    const auto* target = preferred_source(sources, seed, may_use_any, state.m_asked);
+    const auto* target = preferred_source(sources, seed, may_use_any, state.m_requested_from);
     if (target == nullptr) {
         target = preferred_source(sources, seed, true, {});  // no other registry has it
     }
@@ -66,23 +66,23 @@
         return {};
     }
     state.m_unanswered += was_unanswered ? 1 : 0;
-    state.m_asked = target->m_address;
+    state.m_requested_from = target->m_address;
     state.m_answer_deadline = now + answer_timeout(state.m_unanswered);
-    return state.m_asked;
+    return state.m_requested_from;
 }
 
 void note_answer(document_fetch& state, const std::string& address, time_point not_before)
 {
-    if (state.m_asked == address) {
+    if (state.m_requested_from == address) {
         state = {};
     }
     state.m_not_before = not_before;
 }
 
-void note_lost(document_fetch& state, const std::string& address)
+void record_disconnect(document_fetch& state, const std::string& address)
 {
-    if (state.m_asked == address) {
-        state.m_asked.clear();
+    if (state.m_requested_from == address) {
+        state.m_requested_from.clear();
     }
 }
 
--- a/dewbeam/src/registrar/document_fetch.h
+++ b/dewbeam/src/registrar/document_fetch.h
@@ -24,7 +24,7 @@
 
 /// State of a follower's request for the newest document.
 struct document_fetch {
-    std::string m_asked;             ///< address of the registry asked; empty: none outstanding
+    std::string m_requested_from;    ///< address of the registry asked; empty: none outstanding
     time_point m_answer_deadline{};  ///< another registry is asked from then on
     std::uint32_t m_unanswered = 0;  ///< requests timed out since the last answer
     time_point m_any_source_from =
@@ -45,6 +45,6 @@
 void note_answer(document_fetch& state, const std::string& address, time_point not_before);
 
 /// Records that the connection to `address` was lost, so that a request to it is not waited for.
-void note_lost(document_fetch& state, const std::string& address);
+void record_disconnect(document_fetch& state, const std::string& address);
 
 }  // namespace dewbeam::registrar
--- a/dewbeam/src/registrar/holds.cpp
+++ b/dewbeam/src/registrar/holds.cpp
@@ -4,10 +4,11 @@
 
 namespace dewbeam::registrar {
 
-void note_answer(hold_table& table, std::uint64_t token, const std::string& from, hold_calls& calls)
+void note_answer(quorum_wait_table& table, std::uint64_t token, const std::string& from,
+                 quorum_wait_calls& calls)
 {
-    const auto place = table.m_holds.find(token);
-    if (place == table.m_holds.end() || !place->second.m_counted.contains(from)) {
+    const auto place = table.m_quorum_waits.find(token);
+    if (place == table.m_quorum_waits.end() || !place->second.m_counted.contains(from)) {
         return;
     }
     auto& subject = place->second;
@@ -16,12 +17,12 @@
         return;
     }
     calls.emplace_back([done = std::move(subject.m_done)] { done(true); });
-    table.m_holds.erase(place);
+    table.m_quorum_waits.erase(place);
 }
 
-void expire(hold_table& table, time_point now, hold_calls& calls)
+void expire(quorum_wait_table& table, time_point now, quorum_wait_calls& calls)
 {
-    std::erase_if(table.m_holds, [&](auto& item) {
+    std::erase_if(table.m_quorum_waits, [&](auto& item) {
         if (item.second.m_deadline > now) {
             return false;
         }
--- a/dewbeam/src/registrar/holds.h
+++ b/dewbeam/src/registrar/holds.h
@@ -1,9 +1,10 @@
 /// \file
-/// Ends of upstreams that wait until a majority of registries holds them.
+/// Acknowledgements of leaving upstreams that wait until a majority of registries knows the change.
 ///
-/// An upstream that leaves relies on the acknowledgement: from then on no new work may reach it.
-/// Gateways hear from every registry, so a majority that holds the end tells every gateway that can
-/// reach a majority, also where the registry that took it in fails right after.
+/// An upstream that leaves relies on the acknowledgement: from then on it must get no new work.
+/// Gateways receive updates from every registry. Once a majority has recorded the change, every
+/// gateway that can reach a majority learns it, even if the registry that received the announcement
+/// fails right afterwards.
 #pragma once
 
 #include <cstdint>
@@ -16,29 +17,29 @@
 
 namespace dewbeam::registrar {
 
-/// One end that waits.
-struct hold {
-    std::size_t m_needed = 0;         ///< answers of other registries
-    std::set<std::string> m_from;     ///< addresses that answered
-    std::set<std::string> m_counted;  ///< addresses whose answer counts
+/// One pending acknowledgement.
+struct quorum_wait {
+    std::size_t m_needed = 0;         ///< number of answers required from other registries
+    std::set<std::string> m_from;     ///< addresses of the registries that answered
+    std::set<std::string> m_counted;  ///< addresses of the other voters; only their answers count
     time_point m_deadline{};
-    std::function<void(bool is_held)> m_done;
+    std::function<void(bool is_recorded)> m_done;
 };
 
-/// All that wait, by token.
-struct hold_table {
-    std::map<std::uint64_t, hold> m_holds;
+/// All pending acknowledgements, by token.
+struct quorum_wait_table {
+    std::map<std::uint64_t, quorum_wait> m_quorum_waits;
     std::uint64_t m_last_token = 0;
 };
 
-/// What is to be called once the caller's lock is given back.
-using hold_calls = std::vector<std::function<void()>>;
+/// Callbacks to run after the caller has released its lock.
+using quorum_wait_calls = std::vector<std::function<void()>>;
 
-/// A registry answered for a token.
-void note_answer(hold_table& table, std::uint64_t token, const std::string& from,
-                 hold_calls& calls);
+/// Records that the registry at `from` answered the sync with this token.
+void note_answer(quorum_wait_table& table, std::uint64_t token, const std::string& from,
+                 quorum_wait_calls& calls);
 
-/// Gives up what waited too long.
-void expire(hold_table& table, time_point now, hold_calls& calls);
+/// Fails all acknowledgements whose deadline has passed.
+void expire(quorum_wait_table& table, time_point now, quorum_wait_calls& calls);
 
 }  // namespace dewbeam::registrar
--- a/dewbeam/src/registrar/limit_wire.h
+++ b/dewbeam/src/registrar/limit_wire.h
@@ -1,5 +1,5 @@
 /// \file
-/// Wire conversion of rate limits and demands for permits between gateways and registries.
+/// Wire conversion of the rate limits and permit demands that gateways and registries exchange.
 #pragma once
 
 #include "dewbeam.pb.h"
@@ -7,7 +7,7 @@
 
 namespace dewbeam::registrar {
 
-/// Sends the age of the limit instead of a time, since clocks differ between hosts.
+/// Writes the age of the limit instead of a timestamp, since clocks differ between hosts.
 void to_wire(const permits::rate_limit& limit, time_point now, wire::UpstreamLimit& to);
 
 permits::rate_limit from_wire(const wire::UpstreamLimit& from, time_point now);
--- a/dewbeam/src/registrar/registrar_server.cpp
+++ b/dewbeam/src/registrar/registrar_server.cpp
@@ -24,32 +24,32 @@
 
 constexpr time_span tick_interval = std::chrono::milliseconds(25);
 constexpr time_span sync_interval = std::chrono::milliseconds(500);
-/// An upstream's call ends after a second; it hears of a failure before that.
-constexpr time_span hold_limit = std::chrono::milliseconds(800);
-/// Without an interruption of so long this process can tell silence of an upstream from a cut or a
-/// pause of its own.
-constexpr time_span steady_span = std::chrono::seconds(5);
+/// The request of an upstream times out after one second; a failure is answered before that.
+constexpr time_span quorum_wait_timeout = std::chrono::milliseconds(800);
+/// After this long with a quorum and without a pause, missing announcements are attributed to the
+/// upstream. Before that, a network partition or a pause of this process may be the cause.
+constexpr time_span stable_period = std::chrono::seconds(5);
 constexpr time_span longest_tick_gap = std::chrono::milliseconds(700);
-/// A registry that was not heard for so long is not named to others.
-constexpr time_span named_span = std::chrono::seconds(10);
+/// A registry from which no sync arrived for this long is no longer advertised to watchers.
+constexpr time_span advertise_timeout = std::chrono::seconds(10);
 constexpr std::chrono::milliseconds election_span{500};
 constexpr std::chrono::milliseconds heartbeat_span{100};
 constexpr std::chrono::milliseconds replica_tick{20};
 
-/// Size of the log at which a snapshot is taken, and what is kept behind it. Each entry holds a
-/// whole configuration, 0.2 MB with 500 routes: with 1,024 entries kept a registry grew to 57 MB in
-/// a day of two large configurations and 100 changes.
+/// Size of the log that triggers a snapshot, and of the entries kept after one. Each entry holds a
+/// complete configuration, 0.2 MB with 500 routes: with 1,024 entries kept, a registry grew to 57
+/// MB in a day of two large configurations and 100 changes.
 constexpr byte_count most_log_bytes{1024L * 1024};
 
-/// What a registry believes of the log.
-struct belief {
+/// A registry's view of the replicated log; logged when it changes.
+struct replica_view {
     std::uint64_t m_leader = 0;
     std::uint64_t m_term = 0;
     bool m_has_quorum = false;
     bool m_is_voter = false;
     std::size_t m_members = 0;
 
-    friend bool operator==(const belief&, const belief&) = default;
+    friend bool operator==(const replica_view&, const replica_view&) = default;
 };
 
 http::response error_response(int status, const char* code, const std::string& message)
@@ -87,19 +87,19 @@
         : m_frame(frame),
           m_settings(settings),
           m_format(format),
-          m_life(program::new_incarnation()),
+          m_own_incarnation(program::new_incarnation()),
           m_seeds(registry_addresses(settings))
     {
     }
 
     absl::Status start()
     {
-        auto node =
-            program::start_node(m_settings, m_life,
-                                {[this](const link::peer& from, wire::Envelope&& message) {
-                                     on_message(from, message);
-                                 },
-                                 [this](const std::vector<link::peer>& gone) { on_lost(gone); }});
+        auto node = program::start_node(
+            m_settings, m_own_incarnation,
+            {[this](const link::peer& from, wire::Envelope&& message) {
+                 on_message(from, message);
+             },
+             [this](const std::vector<link::peer>& disconnected) { on_lost(disconnected); }});
         if (!node.ok()) {
             return node.status();
         }
@@ -118,7 +118,7 @@
             return server.status();
         }
         m_server = *std::move(server);
-        m_steady_since = program::now();
+        m_stable_since = program::now();
         m_is_started = true;
         program::write_address_file(m_settings, to_string(m_server->address()));
         return absl::OkStatus();
@@ -142,7 +142,7 @@
             m_runner->stop();
         }
         if (m_node) {
-            m_node->stop();  // its thread uses the members that end before it
+            m_node->stop();  // its thread uses members that are destroyed before it
         }
     }
 
@@ -157,7 +157,7 @@
         control::runner_options options;
         options.m_data_folder = setting_value<std::string>(m_settings, "/data_folder");
         options.m_replica = id_of(m_node->address()).value();
-        options.m_life = m_life;
+        options.m_life = m_own_incarnation;
         options.m_tick_span = replica_tick;
         options.m_address_of = [](consensus::replica_id id) { return address_of(id); };
         for (const auto& seed : m_seeds) {
@@ -188,7 +188,7 @@
         return hooks;
     }
 
-    // Calls of upstreams and operators.
+    // Requests of upstreams and operators.
 
     void handle(const http::request& request, const std::shared_ptr<http::exchange>& answer)
     {
@@ -220,27 +220,27 @@
     void announce(const upstream_id& name, const http::request& request,
                   const std::shared_ptr<http::exchange>& answer)
     {
-        const auto heard = m_format.m_read_announcement(name, request.m_body);
-        if (!heard.ok()) {
-            refuse_announcement(name, heard.status(), answer);
+        const auto received = m_format.m_read_announcement(name, request.m_body);
+        if (!received.ok()) {
+            refuse_announcement(name, received.status(), answer);
             return;
         }
         const auto now = program::now();
         {
             const std::lock_guard lock(m_mutex);
-            const auto result = registry::merge(m_registry, *heard, now);
+            const auto result = registry::merge(m_registry, *received, now);
             m_renewed.insert(name);
-            log_merge(*heard, result);
+            log_merge(*received, result);
         }
         push_upstreams();
-        if (heard->m_state == registry::upstream_state::ready) {
+        if (received->m_state == registry::upstream_state::ready) {
             answer->respond(http::json_response(200, "{}"));
             return;
         }
-        hold_end(name, answer, now);
+        acknowledge_after_quorum(name, answer, now);
     }
 
-    /// The upstream stays as it was known.
+    /// Answers an invalid announcement; the record of the upstream stays unchanged.
     static void refuse_announcement(const upstream_id& name, const absl::Status& fault,
                                     const std::shared_ptr<http::exchange>& answer)
     {
@@ -266,27 +266,27 @@
             log_merge(m_registry.m_records.at(name).m_announced, result);
         }
         push_upstreams();
-        hold_end(name, answer, now);
+        acknowledge_after_quorum(name, answer, now);
     }
 
-    static void log_merge(const registry::announcement& heard, registry::merge_result result)
+    static void log_merge(const registry::announcement& received, registry::merge_result result)
     {
         if (result == registry::merge_result::changed) {
             log_event(log_level::info, "upstream_changed",
-                      {{"upstream", heard.m_name.value()},
-                       {"service", heard.m_service},
-                       {"state", registry::to_string(heard.m_state)},
-                       {"incarnation", heard.m_incarnation.value()},
-                       {"number", heard.m_number.value()}});
+                      {{"upstream", received.m_name.value()},
+                       {"service", received.m_service},
+                       {"state", registry::to_string(received.m_state)},
+                       {"incarnation", received.m_incarnation.value()},
+                       {"number", received.m_number.value()}});
         }
     }
 
-    /// Acknowledges that an upstream leaves once a majority of registries holds it.
-    void hold_end(const upstream_id& name, const std::shared_ptr<http::exchange>& answer,
-                  time_point now)
+    /// Acknowledges that an upstream leaves once a majority of registries has recorded it.
+    void acknowledge_after_quorum(const upstream_id& name,
+                                  const std::shared_ptr<http::exchange>& answer, time_point now)
     {
         const auto status = m_runner->status();
-        hold waiting;
+        quorum_wait waiting;
         std::size_t voters = 0;
         for (const auto& member : status.m_members) {
             voters += member.m_votes ? 1 : 0;
@@ -297,13 +297,13 @@
         }
         const std::size_t own = status.m_is_voter ? 1 : 0;
         waiting.m_needed = voters / 2 + 1 - own;
-        waiting.m_deadline = now + hold_limit;
-        waiting.m_done = [answer, name](bool is_held) {
+        waiting.m_deadline = now + quorum_wait_timeout;
+        waiting.m_done = [answer, name](bool is_recorded) {
             log_event(log_level::info, "upstream_end_held",
-                      {{"upstream", name.value()}, {"held", is_held}});
-            answer->respond(
-                is_held ? http::json_response(200, "{}")
-                        : error_response(503, "no_quorum", "no majority of registries answered"));
+                      {{"upstream", name.value()}, {"held", is_recorded}});
+            answer->respond(is_recorded ? http::json_response(200, "{}")
+                                        : error_response(503, "no_quorum",
+                                                         "no majority of registries answered"));
         };
         if (voters > 0 && waiting.m_needed == 0) {
             waiting.m_done(true);
@@ -318,10 +318,10 @@
         const auto targets = waiting.m_counted;
         {
             const std::lock_guard lock(m_mutex);
-            const auto token = ++m_holds.m_last_token;
+            const auto token = ++m_quorum_waits.m_last_token;
             sync.set_token(token);
             to_wire(m_registry.m_records.at(name), *sync.add_upstreams());
-            m_holds.m_holds.emplace(token, std::move(waiting));
+            m_quorum_waits.m_quorum_waits.emplace(token, std::move(waiting));
         }
         for (const auto& address : targets) {
             m_node->send(address, message);
@@ -340,7 +340,7 @@
         }
         const auto number = book->m_revision;
         if (number <= m_runner->revision().m_number) {
-            // What this host has applied is committed: the number is overtaken for good.
+            // Applied revisions are committed, so this number is permanently overtaken.
             answer_revision(number, revisions::revision_result::overtaken, answer);
             return;
         }
@@ -414,7 +414,7 @@
     void on_message(const link::peer& from, const wire::Envelope& message)
     {
         if (!m_is_started) {
-            return;  // whoever sent this sends it again
+            return;  // the sender repeats its message
         }
         if (message.has_consensus()) {
             m_runner->receive(message.consensus());
@@ -435,23 +435,24 @@
         put_revision_news(news, watch);
         {
             const std::lock_guard lock(m_mutex);
-            auto& subject = note_watch(m_watchers, from, watch, now);
-            const bool knows_life = watch.registry_life() == m_life.value();
-            put_upstreams(m_registry, watch.known_change(), !knows_life, news);
-            subject.m_told_change = m_registry.m_last_change;
+            auto& subject = apply_watch(m_watchers, from, watch, now);
+            const bool knows_incarnation = watch.registry_life() == m_own_incarnation.value();
+            put_upstreams(m_registry, watch.known_change(), !knows_incarnation, news);
+            subject.m_sent_change = m_registry.m_last_change;
             news.set_gateways(m_watchers.m_gateways);
             if (watch.is_gateway()) {
                 take_suspicions(watch, now);
-                put_suspicions(subject, knows_life ? watch.known_suspicion_change() : 0, now, news);
+                put_suspicions(subject, knows_incarnation ? watch.known_suspicion_change() : 0, now,
+                               news);
                 news.set_taken_suspicion_change(watch.suspicion_change());
             }
             if (watch.wants_loads()) {
-                put_turns(from, watch, now, news);
+                put_run_grants(from, watch, now, news);
                 take_limits(from, watch, now);
                 put_loads(m_watchers, subject, news);
                 put_limits(m_issuer, now, news);
             }
-            for (const auto& address : m_named) {
+            for (const auto& address : m_advertised_registries) {
                 news.add_registries(address);
             }
         }
@@ -461,11 +462,11 @@
     void take_suspicions(const wire::Watch& watch, time_point now)
     {
         for (const auto& item : watch.suspicions()) {
-            const auto heard = from_wire(item, now);
-            if (const auto news = take(m_suspicions, heard)) {
+            const auto received = from_wire(item, now);
+            if (const auto news = take(m_suspicions, received)) {
                 log_event(log_level::info, "content_reported",
-                          {{"pool", heard.m_pool},
-                           {"content", heard.m_record.m_content.value()},
+                          {{"pool", received.m_pool},
+                           {"content", received.m_record.m_content.value()},
                            {"deaths", news->m_deaths.size()}});
             }
         }
@@ -474,13 +475,13 @@
     void put_suspicions(watcher& subject, std::uint64_t known, time_point now,
                         wire::WatchNews& news)
     {
-        subject.m_told_suspicion =
+        subject.m_sent_suspicion =
             put_changes(m_suspicions, known, now, *news.mutable_suspicions());
-        news.set_suspicion_change(subject.m_told_suspicion);
+        news.set_suspicion_change(subject.m_sent_suspicion);
     }
 
-    void put_turns(const link::peer& from, const wire::Watch& watch, time_point now,
-                   wire::WatchNews& news)
+    void put_run_grants(const link::peer& from, const wire::Watch& watch, time_point now,
+                        wire::WatchNews& news)
     {
         std::vector<fingerprint> wanted;
         for (const auto content : watch.wanted_turns()) {
@@ -495,7 +496,7 @@
     void put_revision_news(wire::WatchNews& news, const wire::Watch& watch)
     {
         const auto status = m_runner->status();
-        news.set_registry_life(m_life.value());
+        news.set_registry_life(m_own_incarnation.value());
         m_revision_news.put(m_runner->revision(), status.m_is_caught_up && status.m_has_quorum,
                             watch, news);
     }
@@ -511,7 +512,7 @@
         }
     }
 
-    /// Issues the permits that are due and sends them to their gateways.
+    /// Issues the permits that are due and sends them to the gateways that requested them.
     void push_permits(time_point now)
     {
         const std::lock_guard lock(m_mutex);
@@ -531,10 +532,10 @@
     {
         const auto now = program::now();
         if (sync.is_answer()) {
-            hold_calls calls;
+            quorum_wait_calls calls;
             {
                 const std::lock_guard lock(m_mutex);
-                note_answer(m_holds, sync.token(), from.m_address, calls);
+                note_answer(m_quorum_waits, sync.token(), from.m_address, calls);
             }
             run(calls);
             return;
@@ -545,7 +546,7 @@
                 merge(m_registry, item, now);
             }
             for (const auto& address : sync.registries()) {
-                m_heard_of[address] = now;
+                m_registry_contacts[address] = now;
             }
         }
         push_upstreams();
@@ -569,56 +570,56 @@
         m_node->reply(from, std::move(answer));
     }
 
-    void on_lost(const std::vector<link::peer>& gone)
+    void on_lost(const std::vector<link::peer>& disconnected)
     {
         const std::lock_guard lock(m_mutex);
-        for (const auto& item : gone) {
+        for (const auto& item : disconnected) {
             forget(m_watchers, item);
         }
     }
 
-    // News.
+    // Updates pushed to watchers.
 
-    /// Tells every gateway the changes that it wasn't told.
+    /// Sends every watcher the upstream changes that it wasn't sent yet.
     void push_upstreams()
     {
         const std::lock_guard lock(m_mutex);
         for (auto& [peer, subject] : m_watchers.m_watchers) {
-            if (subject.m_told_change >= m_registry.m_last_change) {
+            if (subject.m_sent_change >= m_registry.m_last_change) {
                 continue;
             }
             wire::Envelope message;
             auto& news = *message.mutable_watch_news();
             put_revision_news(news, {});
-            put_upstreams(m_registry, subject.m_told_change, false, news);
+            put_upstreams(m_registry, subject.m_sent_change, false, news);
             if (m_node->reply(peer, std::move(message))) {
-                subject.m_told_change = m_registry.m_last_change;
+                subject.m_sent_change = m_registry.m_last_change;
             }
         }
     }
 
-    /// Tells every gateway the suspicions that it wasn't told.
+    /// Sends every gateway the suspicions that it wasn't sent yet.
     void push_suspicions(time_point now)
     {
         const std::lock_guard lock(m_mutex);
         expire(m_suspicions, now);
         for (auto& [peer, subject] : m_watchers.m_watchers) {
-            const auto told = subject.m_told_suspicion;
-            if (!subject.m_is_gateway || told >= m_suspicions.m_last_change) {
+            const auto sent = subject.m_sent_suspicion;
+            if (!subject.m_is_gateway || sent >= m_suspicions.m_last_change) {
                 continue;
             }
             wire::Envelope message;
             auto& news = *message.mutable_watch_news();
             put_revision_news(news, {});
-            put_suspicions(subject, told, now, news);
+            put_suspicions(subject, sent, now, news);
             if (!m_node->reply(peer, std::move(message))) {
-                subject.m_told_suspicion = told;
+                subject.m_sent_suspicion = sent;
             }
         }
     }
 
-    /// Tells every gateway the number of the newest revision; those that lack it ask for it, one
-    /// registry each.
+    /// Sends every watcher the number of the newest revision. Those that lack it request its
+    /// document, each from one registry.
     void push_revision()
     {
         wire::Envelope message;
@@ -629,7 +630,7 @@
         }
     }
 
-    static void run(const hold_calls& calls)
+    static void run(const quorum_wait_calls& calls)
     {
         for (const auto& call : calls) {
             call();
@@ -643,36 +644,36 @@
             push_revision();
         }
         const auto held_up = take_growth(m_link_held_up, m_node->held_up());
-        hold_calls calls;
+        quorum_wait_calls calls;
         {
             const std::lock_guard lock(m_mutex);
             if (held_up > time_span::zero()) {
                 put_off_leases(m_watchers, held_up, now);
             }
             expire(m_watchers, now);
-            expire(m_holds, now, calls);
+            expire(m_quorum_waits, now, calls);
         }
         run(calls);
         push_permits(now);
         push_suspicions(now);
         const auto status = m_runner->status();
-        note_belief(status);
-        note_steadiness(status, now);
+        log_replica_view(status);
+        update_stability(status, now);
         if (now >= m_next_sync) {
             m_next_sync = now + sync_interval;
             sync_registries(now);
         }
     }
 
-    /// Logs what this registry believes of the log's replicas, where that changed.
-    void note_belief(const control::runner_status& status)
+    /// Logs this registry's view of the replicated log if it changed.
+    void log_replica_view(const control::runner_status& status)
     {
-        const belief now{status.m_leader, status.m_term, status.m_has_quorum, status.m_is_voter,
-                         status.m_members.size()};
-        if (now == m_belief) {
+        const replica_view now{status.m_leader, status.m_term, status.m_has_quorum,
+                               status.m_is_voter, status.m_members.size()};
+        if (now == m_replica_view) {
             return;
         }
-        m_belief = now;
+        m_replica_view = now;
         const auto leader = consensus::replica_id(status.m_leader);
         log_event(log_level::info, "log_belief",
                   {{"leader", status.m_leader == 0 ? std::string("none") : address_of(leader)},
@@ -684,14 +685,14 @@
                    {"revision", m_runner->revision().m_number.value()}});
     }
 
-    void note_steadiness(const control::runner_status& status, time_point now)
+    void update_stability(const control::runner_status& status, time_point now)
     {
         const bool was_paused = now - m_last_tick > longest_tick_gap;
         m_last_tick = now;
         if (was_paused || !status.m_has_quorum) {
-            m_steady_since = now;
+            m_stable_since = now;
         }
-        if (now - m_steady_since < steady_span) {
+        if (now - m_stable_since < stable_period) {
             return;
         }
         {
@@ -702,7 +703,7 @@
         push_upstreams();
     }
 
-    /// Tells the other registries what was heard here since the last time.
+    /// Sends the other registries the upstreams announced here since the last sync.
     void sync_registries(time_point now)
     {
         std::set<std::string> targets(m_seeds.begin(), m_seeds.end());
@@ -714,13 +715,13 @@
         std::vector<consensus::replica_id> known;
         {
             const std::lock_guard lock(m_mutex);
-            std::erase_if(m_heard_of,
-                          [&](const auto& item) { return item.second + named_span <= now; });
-            m_heard_of[m_node->address()] = now;
-            m_named.clear();
-            for (const auto& [address, heard_at] : m_heard_of) {
+            std::erase_if(m_registry_contacts,
+                          [&](const auto& item) { return item.second + advertise_timeout <= now; });
+            m_registry_contacts[m_node->address()] = now;
+            m_advertised_registries.clear();
+            for (const auto& [address, heard_at] : m_registry_contacts) {
                 targets.insert(address);
-                m_named.push_back(address);
+                m_advertised_registries.push_back(address);
                 known.push_back(id_of(address));
             }
             for (const auto& name : m_renewed) {
@@ -743,26 +744,28 @@
     program::program& m_frame;
     json m_settings;
     const control_format& m_format;
-    incarnation m_life;
+    incarnation m_own_incarnation;
     std::vector<std::string> m_seeds;
-    std::atomic<bool> m_is_started = false;  ///< all members below are there
+    std::atomic<bool> m_is_started = false;  ///< all members below are initialized
     std::atomic<bool> m_has_revision_news = false;
     revision_news m_revision_news;
     std::mutex m_mutex;
-    registry::table m_registry;                    ///< under m_mutex
-    watcher_table m_watchers;                      ///< the same
-    hold_table m_holds;                            ///< the same
-    permits::issuer m_issuer;                      ///< the same
-    suspicion_board m_suspicions;                  ///< the same
-    std::set<upstream_id> m_renewed;               ///< the same; since the last sync
-    std::map<std::string, time_point> m_heard_of;  ///< the same; registries by address
-    std::vector<std::string> m_named;              ///< the same; registries that gateways are told
-    belief m_belief;                               ///< used on the frame's thread alone
-    time_point m_next_sync{};                      ///< the same
-    time_point m_last_tick{};                      ///< the same
-    held_up_since m_link_held_up;                  ///< the same; as of the last tick
-    time_point m_steady_since{};                   ///< the same
-    bool m_has_asked_all = false;                  ///< the same
+    registry::table m_registry;        ///< guarded by m_mutex
+    watcher_table m_watchers;          ///< the same
+    quorum_wait_table m_quorum_waits;  ///< the same
+    permits::issuer m_issuer;          ///< the same
+    suspicion_board m_suspicions;      ///< the same
+    std::set<upstream_id> m_renewed;   ///< the same; since the last sync
+    std::map<std::string, time_point>
+        m_registry_contacts;  ///< the same; last sync by registry address
+    std::vector<std::string>
+        m_advertised_registries;   ///< the same; registries that watchers are sent
+    replica_view m_replica_view;   ///< used only on the main loop's thread
+    time_point m_next_sync{};      ///< the same
+    time_point m_last_tick{};      ///< the same
+    held_up_since m_link_held_up;  ///< the same; as of the last tick
+    time_point m_stable_since{};   ///< the same
+    bool m_has_asked_all = false;  ///< the same
     std::unique_ptr<link::node> m_node;
     std::unique_ptr<control::replica_runner> m_runner;
     std::unique_ptr<http::server> m_server;
--- a/dewbeam/src/registrar/registrar_server.h
+++ b/dewbeam/src/registrar/registrar_server.h
@@ -1,8 +1,9 @@
 /// \file
-/// The registrar program: upstreams announce themselves there, operators send whole configurations.
+/// The registrar program: upstreams announce themselves to it, operators submit configurations.
 ///
-/// Announcements are soft state, renewed by the upstreams, and merged between registries. The
-/// configuration is a replicated log on disk; it is acknowledged once a majority has synced it.
+/// Announcements are soft state: upstreams renew them, and registries merge them with each other.
+/// Configurations are entries of a replicated log on disk, and are acknowledged once a majority has
+/// synced them.
 #pragma once
 
 #include <memory>
@@ -12,7 +13,7 @@
 
 namespace dewbeam::registrar {
 
-/// Settings of the program.
+/// The settings of the program.
 std::vector<setting> registrar_schema();
 
 /// One registry.
@@ -26,10 +27,10 @@
     registrar_server(registrar_server&&) = delete;
     registrar_server& operator=(registrar_server&&) = delete;
 
-    /// Opens the listeners and the data folder.
+    /// Opens the listeners and the data directory.
     absl::Status start();
 
-    /// What the program's frame calls.
+    /// The callbacks for the program's main loop.
     program::program_hooks hooks();
 
 private:
--- a/dewbeam/src/registrar/registry_feed.cpp
+++ b/dewbeam/src/registrar/registry_feed.cpp
@@ -11,24 +11,25 @@
 
 namespace {
 
-/// Larger than any request body that an operator may send.
+/// Larger than any request body that an operator may submit.
 constexpr std::size_t longest_document = 64UL << 20U;
-/// A registry that didn't answer for so long is not counted as heard.
-constexpr time_span heard_span = std::chrono::milliseconds(2500);
-/// Registries that a gateway remembers at most: seven may exist, and some were replaced.
+/// A registry that didn't answer for this long counts as unresponsive.
+constexpr time_span response_timeout = std::chrono::milliseconds(2500);
+/// Maximum number of registries that a gateway remembers: seven may exist, and replaced ones may
+/// still be listed.
 constexpr std::size_t most_registries = 16;
 
 /// A limit that upstreams keep repeating is sent again at this interval, so that the registry
 /// doesn't expire it.
 constexpr time_span limit_refresh = std::chrono::seconds(5);
 
-/// What a registry bears of such questions grows with the gateways.
-constexpr time_span loads_interval_of_gateway = std::chrono::milliseconds(6);
+/// The interval grows with the number of gateways, since each registry answers all of them.
+constexpr time_span loads_interval_per_gateway = std::chrono::milliseconds(6);
 constexpr time_span shortest_loads_interval = std::chrono::milliseconds(100);
 
-/// A registry tells every follower of a change at once; a watch brings what was lost on the way and
-/// keeps the lease. With 150 gateways each registry is asked twice a second by each.
-constexpr time_span news_interval_of_gateway = std::chrono::milliseconds(4);
+/// A registry pushes a change to every follower at once. A watch recovers updates that were lost
+/// and renews the lease. With 150 gateways, each sends every registry two watches a second.
+constexpr time_span update_interval_per_gateway = std::chrono::milliseconds(4);
 constexpr time_span longest_news_interval = std::chrono::milliseconds(500);
 
 /// The document as the operator sent it, decompressed if necessary.
@@ -42,16 +43,16 @@
 
 }  // namespace
 
-time_span news_interval(std::uint32_t gateways, time_span shortest)
+time_span update_interval(std::uint32_t gateways, time_span min_interval)
 {
-    const time_span wanted = news_interval_of_gateway * gateways;
-    return std::max(shortest, std::min(wanted, longest_news_interval));
+    const time_span wanted = update_interval_per_gateway * gateways;
+    return std::max(min_interval, std::min(wanted, longest_news_interval));
 }
 
-time_span loads_interval(std::uint32_t gateways, time_span longest)
+time_span loads_interval(std::uint32_t gateways, time_span max_interval)
 {
-    const auto wanted = std::max(shortest_loads_interval, loads_interval_of_gateway * gateways);
-    return std::min<time_span>(wanted, longest);
+    const auto wanted = std::max(shortest_loads_interval, loads_interval_per_gateway * gateways);
+    return std::min<time_span>(wanted, max_interval);
 }
 
 registry_feed::registry_feed(const std::vector<std::string>& seeds, feed_options options,
@@ -64,7 +65,7 @@
     }
 }
 
-/// The registry that tells the loads adds them up; the others need none.
+/// Loads are sent only to the registry that reports the sums; the others don't need them.
 void registry_feed::put_own_loads(wire::Watch& watch) const
 {
     if (!watch.wants_loads()) {
@@ -83,7 +84,7 @@
 {
     wire::Envelope result;
     auto& watch = *result.mutable_watch();
-    watch.set_registry_life(target.m_life);
+    watch.set_registry_life(target.m_registry_incarnation);
     watch.set_known_change(target.m_change);
     watch.set_known_revision(m_revision.value());
     watch.set_wants_loads(wants_loads && m_options.m_is_gateway);
@@ -91,7 +92,7 @@
     put_own_loads(watch);
     put_limits(watch, now);
     put_suspicions(watch, target, now);
-    for (const auto& [name, pace] : m_paces) {
+    for (const auto& [name, pace] : m_slowdowns) {
         auto& item = *watch.add_paces();
         item.set_upstream(name);
         item.set_pace(pace);
@@ -106,12 +107,12 @@
         return;
     }
     for (const auto& limit : m_limits) {
-        const auto told = m_told_limits.m_limits.find(limit.m_upstream);
-        const bool is_told = told != m_told_limits.m_limits.end() &&
-                             told->second.m_incarnation == limit.m_incarnation &&
-                             told->second.m_per_second == limit.m_per_second &&
-                             limit.m_heard_at <= told->second.m_heard_at + limit_refresh;
-        if (!is_told) {
+        const auto reported = m_reported_limits.m_limits.find(limit.m_upstream);
+        const bool is_reported = reported != m_reported_limits.m_limits.end() &&
+                                 reported->second.m_incarnation == limit.m_incarnation &&
+                                 reported->second.m_per_second == limit.m_per_second &&
+                                 limit.m_heard_at <= reported->second.m_heard_at + limit_refresh;
+        if (!is_reported) {
             to_wire(limit, now, *watch.add_limits());
         }
     }
@@ -127,12 +128,16 @@
     if (!m_options.m_is_gateway) {
         return;
     }
-    const auto told = target.m_suspicion_life == target.m_life ? target.m_told_suspicion : 0;
-    watch.set_suspicion_change(put_changes(m_suspicions, told, now, *watch.mutable_suspicions()));
-    watch.set_known_suspicion_change(
-        target.m_suspicion_life == target.m_life ? target.m_known_suspicion : 0);
+    const auto reported = target.m_suspicion_incarnation == target.m_registry_incarnation
+                              ? target.m_acknowledged_suspicion
+                              : 0;
+    watch.set_suspicion_change(
+        put_changes(m_suspicions, reported, now, *watch.mutable_suspicions()));
+    watch.set_known_suspicion_change(target.m_suspicion_incarnation == target.m_registry_incarnation
+                                         ? target.m_known_suspicion
+                                         : 0);
     if (watch.wants_loads()) {
-        for (const auto content : m_wanted_turns) {
+        for (const auto content : m_wanted_run_grants) {
             watch.add_wanted_turns(content.value());
         }
     }
@@ -141,26 +146,27 @@
 void registry_feed::take_suspicions(source& from, const wire::WatchNews& news, time_point now,
                                     std::vector<noted_suspicion>& changed)
 {
-    if (from.m_suspicion_life != news.registry_life()) {
-        from.m_suspicion_life = news.registry_life();
+    if (from.m_suspicion_incarnation != news.registry_life()) {
+        from.m_suspicion_incarnation = news.registry_life();
         from.m_known_suspicion = 0;
-        from.m_told_suspicion = 0;
+        from.m_acknowledged_suspicion = 0;
     }
     for (const auto& item : news.suspicions()) {
-        const auto heard = from_wire(item, now);
-        if (auto record = registrar::take(m_suspicions, heard)) {
-            changed.push_back({heard.m_pool, *std::move(record)});
+        const auto incoming = from_wire(item, now);
+        if (auto record = registrar::take(m_suspicions, incoming)) {
+            changed.push_back({incoming.m_pool, *std::move(record)});
         }
     }
     from.m_known_suspicion = std::max(from.m_known_suspicion, news.suspicion_change());
-    from.m_told_suspicion = std::max(from.m_told_suspicion, news.taken_suspicion_change());
+    from.m_acknowledged_suspicion =
+        std::max(from.m_acknowledged_suspicion, news.taken_suspicion_change());
 }
 
 /// The next tick sends a watch to every registry.
-void registry_feed::ask_all_at_once()
+void registry_feed::schedule_all_watches()
 {
     for (auto& [address, target] : m_sources) {
-        target.m_asked_at = {};
+        target.m_last_watch = {};
     }
 }
 
@@ -170,7 +176,7 @@
     if (!registrar::take(m_suspicions, learned)) {
         return false;
     }
-    ask_all_at_once();
+    schedule_all_watches();
     return true;
 }
 
@@ -179,7 +185,7 @@
     const std::lock_guard lock(m_mutex);
     auto record = outweigh(m_suspicions, content, now);
     if (record) {
-        ask_all_at_once();
+        schedule_all_watches();
     }
     return record;
 }
@@ -187,9 +193,9 @@
 void registry_feed::set_wanted_turns(std::vector<fingerprint> wanted)
 {
     const std::lock_guard lock(m_mutex);
-    if (wanted != m_wanted_turns) {
-        m_wanted_turns = std::move(wanted);
-        ask_all_at_once();
+    if (wanted != m_wanted_run_grants) {
+        m_wanted_run_grants = std::move(wanted);
+        schedule_all_watches();
     }
 }
 
@@ -223,13 +229,13 @@
 void registry_feed::take_limits(const wire::WatchNews& news, time_point now)
 {
     if (news.has_loads()) {
-        permits::limit_table told;
+        permits::limit_table reported;
         for (const auto& item : news.limits()) {
             const auto limit = from_wire(item, now);
-            told.m_limits.insert_or_assign(limit.m_upstream, limit);
+            reported.m_limits.insert_or_assign(limit.m_upstream, limit);
         }
         const std::lock_guard lock(m_mutex);
-        m_told_limits = std::move(told);
+        m_reported_limits = std::move(reported);
     }
     for (const auto& item : news.limits()) {
         m_handlers.m_on_limit(from_wire(item, now));
@@ -246,21 +252,21 @@
         const std::lock_guard lock(m_mutex);
         expire(m_suspicions, now);
         m_loads = loads;
-        m_paces = paces;
-        // The loads come from one registry, the first that is heard.
+        m_slowdowns = paces;
+        // The loads are requested from one registry, the first that is responsive.
         bool wants_loads = true;
         for (auto& [address, target] : m_sources) {
-            const bool is_heard = target.m_heard_at + heard_span > now;
-            const bool tells_loads = wants_loads && is_heard && m_options.m_is_gateway;
-            const auto interval = tells_loads ? loads_interval(m_gateways, m_options.m_interval)
-                                              : news_interval(m_gateways, m_options.m_interval);
-            if (target.m_asked_at + interval > now) {
-                wants_loads = wants_loads && !is_heard;
+            const bool is_responsive = target.m_heard_at + response_timeout > now;
+            const bool reports_loads = wants_loads && is_responsive && m_options.m_is_gateway;
+            const auto interval = reports_loads ? loads_interval(m_gateways, m_options.m_interval)
+                                                : update_interval(m_gateways, m_options.m_interval);
+            if (target.m_last_watch + interval > now) {
+                wants_loads = wants_loads && !is_responsive;
                 continue;
             }
-            target.m_asked_at = now;
-            due.emplace_back(address, watch_of(target, wants_loads && is_heard, now));
-            wants_loads = wants_loads && !is_heard;
+            target.m_last_watch = now;
+            due.emplace_back(address, watch_of(target, wants_loads && is_responsive, now));
+            wants_loads = wants_loads && !is_responsive;
         }
     }
     for (auto& [address, message] : due) {
@@ -278,7 +284,7 @@
         const std::lock_guard lock(m_mutex);
         std::vector<document_source> sources;
         for (const auto& [source_address, known] : m_sources) {
-            if (known.m_heard_at + heard_span > now) {
+            if (known.m_heard_at + response_timeout > now) {
                 sources.push_back({source_address, known.m_newest > m_revision});
             }
         }
@@ -329,11 +335,11 @@
 void registry_feed::take_upstreams(source& from, const wire::WatchNews& news, time_point now,
                                    std::vector<registry::record>& changed)
 {
-    if (news.registry_life() != from.m_life) {
+    if (news.registry_life() != from.m_registry_incarnation) {
         if (!news.whole()) {
-            return;  // a part of what a new process knows: the next watch brings all
+            return;  // partial state of a restarted registry; the next watch brings all of it
         }
-        from.m_life = news.registry_life();
+        from.m_registry_incarnation = news.registry_life();
         from.m_change = 0;
     }
     for (const auto& item : news.upstreams()) {
@@ -343,23 +349,23 @@
             changed.push_back(m_table.m_records.at(upstream_id(item.name())));
         }
     }
-    from.m_has_whole = from.m_has_whole || news.whole();
+    from.m_has_all_upstreams = from.m_has_all_upstreams || news.whole();
     from.m_change = std::max(from.m_change, news.change());
 }
 
-/// Whether news of a registry may be taken in. What waited for the choice of the log is asked for
-/// again at once.
-bool registry_feed::is_of_own_log(const std::string& address, log_id told, time_point now)
+/// Whether updates of a registry may be applied. Once the log is chosen, the next tick sends a
+/// watch to every registry, since earlier updates were ignored.
+bool registry_feed::accepts_log(const std::string& address, log_id reported, time_point now)
 {
     const bool was_chosen = m_log.m_chosen != log_id{};
-    note_log(m_log, address, told, m_seeds.size(), now);
+    record_log(m_log, address, reported, m_seeds.size(), now);
     if (!was_chosen && m_log.m_chosen != log_id{}) {
         m_handlers.m_follow_log(m_log.m_chosen);
         for (auto& [other, target] : m_sources) {
-            target.m_asked_at = {};
+            target.m_last_watch = {};
         }
     }
-    return may_take(m_log, told);
+    return may_apply_update(m_log, reported);
 }
 
 void registry_feed::take(const link::peer& from, const wire::Envelope& message, time_point now)
@@ -373,7 +379,7 @@
         if (place == m_sources.end()) {
             return;
         }
-        if (!is_of_own_log(from.m_address, log_id(message.log()), now)) {
+        if (!accepts_log(from.m_address, log_id(message.log()), now)) {
             return;
         }
         auto& subject = place->second;
@@ -413,18 +419,19 @@
     }
 }
 
-void registry_feed::lost(const link::peer& gone)
+void registry_feed::lost(const link::peer& disconnected)
 {
     const std::lock_guard lock(m_mutex);
-    const auto place = m_sources.find(gone.m_address);
+    const auto place = m_sources.find(disconnected.m_address);
     if (place == m_sources.end()) {
         return;
     }
     place->second.m_heard_at = {};
-    note_lost(m_document_fetch, gone.m_address);
-    const bool is_seed = std::find(m_seeds.begin(), m_seeds.end(), gone.m_address) != m_seeds.end();
+    record_disconnect(m_document_fetch, disconnected.m_address);
+    const bool is_seed =
+        std::find(m_seeds.begin(), m_seeds.end(), disconnected.m_address) != m_seeds.end();
     if (!is_seed && m_sources.size() >= most_registries) {
-        m_sources.erase(place);  // room for one that took its place
+        m_sources.erase(place);  // frees the slot for a replacement
     }
 }
 
@@ -437,17 +444,17 @@
     return std::any_of(m_sources.begin(), m_sources.end(), [&](const auto& item) {
         const auto& subject = item.second;
         const bool is_sure = subject.m_is_sure || now >= lenient_from;
-        return subject.m_has_whole && is_sure && subject.m_newest <= m_revision &&
-               subject.m_heard_at + heard_span > now;
+        return subject.m_has_all_upstreams && is_sure && subject.m_newest <= m_revision &&
+               subject.m_heard_at + response_timeout > now;
     });
 }
 
 std::size_t registry_feed::heard(time_point now) const
 {
     const std::lock_guard lock(m_mutex);
-    return static_cast<std::size_t>(
-        std::count_if(m_sources.begin(), m_sources.end(),
-                      [&](const auto& item) { return item.second.m_heard_at + heard_span > now; }));
+    return static_cast<std::size_t>(std::count_if(
+        m_sources.begin(), m_sources.end(),
+        [&](const auto& item) { return item.second.m_heard_at + response_timeout > now; }));
 }
 
 revisions::revision_number registry_feed::newest_known_revision() const
--- a/dewbeam/src/registrar/registry_feed.h
+++ b/dewbeam/src/registrar/registry_feed.h
@@ -1,9 +1,10 @@
 /// \file
-/// Follows the registries: announced upstreams, the newest revision, the other gateways' loads.
+/// Follows the registries: announced upstreams, the newest revision, the loads of other gateways.
 ///
-/// A gateway watches every registry that it knows, since a change is told to it by the one that
-/// took it in, and any of them may be cut off. What several of them say is merged, so that nothing
-/// goes back. Seeds are only where it begins: registries name each other.
+/// A gateway watches every registry that it knows, since the registry that receives a change sends
+/// it on, and any of them may be partitioned away. The updates of all registries are merged, so
+/// that an older state never replaces a newer one. The seeds are only the starting points:
+/// registries advertise each other.
 #pragma once
 
 #include <functional>
@@ -22,35 +23,36 @@
 
 namespace dewbeam::registrar {
 
-/// What the feed calls; outside its lock, on the link's thread.
+/// Callbacks of the feed. They run on the thread that calls the feed, without the feed's lock
+/// except for `m_follow_log`.
 struct feed_handlers {
     std::function<void(const std::string& address, wire::Envelope&& message)> m_send;
-    /// The log of the registries, once it is chosen.
+    /// The log of the registries, once it is chosen. Called under the feed's lock.
     std::function<void(log_id log)> m_follow_log;
     std::function<void(const registry::record& changed)> m_on_upstream;
-    /// A document that is newer than the one held; true where it is taken.
+    /// A document newer than the current one arrived. Returns whether it was accepted.
     std::function<bool(const revisions::revision& newer)> m_on_revision;
     std::function<void(const std::string& upstream, std::uint32_t in_flight)> m_on_load;
-    std::function<void(const std::string& upstream, double pace)> m_on_pace;
+    std::function<void(const std::string& upstream, double slowdown)> m_on_pace;
     std::function<void()> m_on_loads_end;
     std::function<void(std::uint32_t gateways)> m_on_gateways;
-    /// Gateways only: a registry reported a limit or its end.
-    std::function<void(const permits::rate_limit& told)> m_on_limit;
+    /// Gateways only: a registry reported a rate limit or its end.
+    std::function<void(const permits::rate_limit& reported)> m_on_limit;
     /// Gateways only: `count` permits were issued for a limited upstream.
     std::function<void(const upstream_id& upstream, std::uint32_t count)> m_on_permits;
-    /// Gateways only: something new of a content that may end its upstreams.
-    std::function<void(const noted_suspicion& heard)> m_on_suspicion = [](const noted_suspicion&) {
-    };
-    /// Gateways only: the suspected contents that this gateway may run now.
+    /// Gateways only: new information on a content that may crash its upstreams.
+    std::function<void(const noted_suspicion& incoming)> m_on_suspicion =
+        [](const noted_suspicion&) {};
+    /// Gateways only: the suspected contents that this gateway may currently run.
     std::function<void(const std::vector<fingerprint>& granted)> m_on_turns =
         [](const std::vector<fingerprint>&) {};
 };
 
-/// Who follows, and how closely.
+/// The kind of follower and its polling intervals.
 struct feed_options {
     bool m_is_gateway = true;  ///< sends requests to upstreams
     time_span m_interval = std::chrono::milliseconds(250);
-    /// Once a document is held, a newer one is asked for after this at the earliest.
+    /// Minimum time between the arrival of a document and the request for a newer one.
     time_span m_document_interval = time_span::zero();
     /// Determines the order in which registries are preferred for documents. Different for each
     /// process, so that the requests of all followers are distributed over the registries.
@@ -58,19 +60,19 @@
     quarantine::quarantine_options m_quarantine = {};
 };
 
-/// How often the registry that tells the other gateways' loads is asked, never less often than
-/// `longest`. Choices between upstreams rest on these loads: two gateways that don't know of each
-/// other's last requests send theirs to the same rank, which then lets one wait for a whole run of
-/// another. A registry answers every gateway with all loads, so that many gateways ask less often.
-time_span loads_interval(std::uint32_t gateways, time_span longest);
+/// The interval at which loads are requested from the registry that reports them; `max_interval` at
+/// most. Upstreams are chosen by these loads: two gateways that don't know of each other's last
+/// requests send theirs to the same rank, where one then waits for a whole run of another. A
+/// registry sends all loads to every gateway, so the interval grows with the number of gateways.
+time_span loads_interval(std::uint32_t gateways, time_span max_interval);
 
-/// How often a registry that tells no loads is asked, never more often than `shortest`.
-time_span news_interval(std::uint32_t gateways, time_span shortest);
+/// The interval at which the other registries are watched; `min_interval` at least.
+time_span update_interval(std::uint32_t gateways, time_span min_interval);
 
-/// Loads to tell, as name and count.
+/// Requests in flight to report, as upstream name and count.
 using load_list = std::vector<std::pair<std::string, std::uint32_t>>;
 
-/// Upstreams that are slow, as name and pace.
+/// Slow upstreams, as name and slowdown.
 using pace_list = std::vector<std::pair<std::string, double>>;
 
 /// The feed. Thread-safe.
@@ -79,45 +81,48 @@
     registry_feed(const std::vector<std::string>& seeds, feed_options options,
                   feed_handlers handlers);
 
-    /// Sets what the next watches send: the limits that this gateway knows and the permits that it
-    /// could use.
+    /// Sets the rate limits that this gateway knows and the permits that it could use; the next
+    /// watches send them.
     void set_limits(std::vector<permits::rate_limit> known, std::vector<permits::demand> wanted);
 
-    /// Takes in what this gateway learned of a content, and tells it to all registries at once.
-    /// \returns whether it was news
+    /// Records what this gateway learned about a content. The next tick sends it to all registries.
+    /// \returns whether it was new information
     bool report(const noted_suspicion& learned);
 
-    /// A run of a content ended well; gives the record where that speaks against a death, and tells
-    /// all registries.
+    /// Records that a run of a content succeeded. If this outweighs a crash report, returns the
+    /// record; the next tick sends it to all registries.
     std::optional<noted_suspicion> report_good_run(fingerprint content, time_point now);
 
-    /// Sets the suspected contents that the next watches ask to run. Asks at once where one is new.
+    /// Sets the suspected contents whose exclusive grant the next watches request. If the list
+    /// changed, the next tick sends a watch to every registry.
     void set_wanted_turns(std::vector<fingerprint> wanted);
 
-    /// The order of an upstream's death under a run that begins now; see quarantine::death.
+    /// The order of a crash report for a run that starts now; see quarantine::crash_report.
     [[nodiscard]] std::uint32_t next_order(fingerprint content) const;
 
-    /// Whether something speaks against a content.
+    /// Whether a content is suspected.
     [[nodiscard]] bool is_suspected(fingerprint content, time_point now) const;
 
-    /// Deaths of upstreams that speak against a content.
+    /// The number of upstream crashes that count against a content.
     [[nodiscard]] std::size_t deaths_of(fingerprint content, time_point now) const;
 
-    /// Watches where it is time to.
+    /// Sends the watches that are due.
     void tick(const load_list& loads, const pace_list& paces, time_point now);
 
-    /// Takes the news in a message; asks at once for a revision that is newer.
+    /// Applies the update in a message; requests a newer document if a request is due.
     void take(const link::peer& from, const wire::Envelope& message, time_point now);
 
-    /// A registry's connection is over: what it knew last is asked anew.
-    void lost(const link::peer& gone);
+    /// Records that the connection to a registry is closed: it counts as unresponsive until it
+    /// answers again, and an outstanding document request to it is dropped.
+    void lost(const link::peer& disconnected);
 
-    /// Whether enough was learned to serve: all upstreams of a registry and the newest revision.
-    /// Until `lenient_from` a registry must be sure of the revision; after it any will do, since a
-    /// cut-off domain must go on with what is known there.
+    /// Whether enough is known to serve requests: all upstreams of a registry and the newest
+    /// revision. Until `lenient_from` a registry with a quorum must confirm the revision;
+    /// afterwards any registry suffices, since a partitioned failure domain must serve with what is
+    /// known there.
     [[nodiscard]] bool is_settled(time_point lenient_from, time_point now) const;
 
-    /// Registries that answered lately.
+    /// The number of registries that answered recently.
     [[nodiscard]] std::size_t heard(time_point now) const;
 
     [[nodiscard]] revisions::revision_number revision() const;
@@ -130,19 +135,20 @@
 
 private:
     struct source {
-        std::uint64_t m_life = 0;
+        std::uint64_t m_registry_incarnation = 0;
         std::uint64_t m_change = 0;
-        bool m_has_whole = false;
+        bool m_has_all_upstreams = false;
         bool m_is_sure = false;
         revisions::revision_number m_newest;
-        time_point m_asked_at{};
+        time_point m_last_watch{};
         time_point m_heard_at{};
-        std::uint64_t m_suspicion_life = 0;  ///< the registry process that the next two are of
+        std::uint64_t m_suspicion_incarnation =
+            0;  ///< incarnation of the registry for the next two
         std::uint64_t m_known_suspicion = 0;
-        std::uint64_t m_told_suspicion = 0;  ///< own changes that it has confirmed
+        std::uint64_t m_acknowledged_suspicion = 0;  ///< last own change that it has acknowledged
     };
 
-    bool is_of_own_log(const std::string& address, log_id told, time_point now);
+    bool accepts_log(const std::string& address, log_id reported, time_point now);
     void learn_registries(const wire::WatchNews& news);
     void take_upstreams(source& from, const wire::WatchNews& news, time_point now,
                         std::vector<registry::record>& changed);
@@ -153,7 +159,7 @@
     void put_suspicions(wire::Watch& watch, const source& target, time_point now) const;
     void take_suspicions(source& from, const wire::WatchNews& news, time_point now,
                          std::vector<noted_suspicion>& changed);
-    void ask_all_at_once();
+    void schedule_all_watches();
     void request_document(time_point now);
     void take_document(const std::string& from, const wire::Revision& received, time_point now);
 
@@ -166,14 +172,14 @@
     registry::table m_table;
     revisions::revision_number m_revision;
     document_fetch m_document_fetch;
-    std::uint32_t m_gateways = 1;  ///< that watch the registries, as one told last
+    std::uint32_t m_gateways = 1;  ///< that watch the registries, as reported last
     load_list m_loads;
-    pace_list m_paces;
+    pace_list m_slowdowns;
     std::vector<permits::rate_limit> m_limits;
     std::vector<permits::demand> m_demands;
-    permits::limit_table m_told_limits;  ///< as last reported with the loads
+    permits::limit_table m_reported_limits;  ///< as last reported with the loads
     suspicion_board m_suspicions;
-    std::vector<fingerprint> m_wanted_turns;
+    std::vector<fingerprint> m_wanted_run_grants;
 };
 
 }  // namespace dewbeam::registrar
--- a/dewbeam/src/registrar/revision_news.h
+++ b/dewbeam/src/registrar/revision_news.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a registry tells its watchers of the newest revision.
+/// The part of a watch update that announces the newest revision.
 #pragma once
 
 #include <string>
@@ -14,7 +14,8 @@
 /// request the document: answer these on one thread. Others may be answered on any thread.
 class revision_news {
 public:
-    /// `is_sure`: a majority of registries knows none that is newer.
+    /// \param is_sure whether this registry is caught up with the log and has a quorum, so that a
+    ///     majority of registries knows no newer revision
     void put(const revisions::revision_store& held, bool is_sure, const wire::Watch& watch,
              wire::WatchNews& news);
 
--- a/dewbeam/src/registrar/suspicion_board.cpp
+++ b/dewbeam/src/registrar/suspicion_board.cpp
@@ -9,8 +9,8 @@
 constexpr std::size_t most_in_message = 128;
 /// Caps received ages so that subtractions can't overflow. Exceeds the retention of records.
 constexpr std::uint64_t longest_age_us = 3'600'000'000;
-/// Some watches of a gateway; one that is gone holds up a content for no longer.
-constexpr time_span turn_lease = std::chrono::milliseconds(1500);
+/// Several watch intervals of a gateway. A disconnected gateway blocks a content for no longer.
+constexpr time_span run_grant_lease = std::chrono::milliseconds(1500);
 
 std::uint64_t microseconds(time_span value)
 {
@@ -45,8 +45,8 @@
     place.m_change = ++board.m_last_change;
 }
 
-/// Drops what the table keeps no record of any more.
-void drop_forgotten(suspicion_board& board)
+/// Removes the entries whose record is no longer in the table.
+void remove_orphaned_entries(suspicion_board& board)
 {
     std::erase_if(board.m_entries,
                   [&](const auto& item) { return !board.m_table.m_records.contains(item.first); });
@@ -54,15 +54,15 @@
 
 }  // namespace
 
-std::optional<quarantine::suspicion> take(suspicion_board& board, const noted_suspicion& heard)
+std::optional<quarantine::suspicion> take(suspicion_board& board, const noted_suspicion& received)
 {
-    auto news = quarantine::news_of(board.m_table, heard.m_record);
+    auto news = quarantine::news_of(board.m_table, received.m_record);
     if (!news || !quarantine::merge(board.m_table, *news)) {
         return std::nullopt;
     }
-    mark_changed(board, heard.m_record.m_content, heard.m_pool);
+    mark_changed(board, received.m_record.m_content, received.m_pool);
     if (board.m_entries.size() > board.m_table.m_records.size()) {
-        drop_forgotten(board);
+        remove_orphaned_entries(board);
     }
     return news;
 }
@@ -82,9 +82,10 @@
 {
     quarantine::expire(board.m_table, now);
     if (board.m_entries.size() > board.m_table.m_records.size()) {
-        drop_forgotten(board);
+        remove_orphaned_entries(board);
     }
-    std::erase_if(board.m_turns, [&](const auto& item) { return item.second.m_deadline <= now; });
+    std::erase_if(board.m_run_grants,
+                  [&](const auto& item) { return item.second.m_deadline <= now; });
 }
 
 std::uint64_t put_changes(const suspicion_board& board, std::uint64_t change, time_point now,
@@ -129,16 +130,17 @@
 std::vector<fingerprint> set_wanted_turns(suspicion_board& board, const permits::holder_id& holder,
                                           const std::vector<fingerprint>& wanted, time_point now)
 {
-    std::erase_if(board.m_turns, [&](const auto& item) {
+    std::erase_if(board.m_run_grants, [&](const auto& item) {
         const bool is_dropped = item.second.m_holder == holder &&
                                 std::find(wanted.begin(), wanted.end(), item.first) == wanted.end();
         return is_dropped || item.second.m_deadline <= now;
     });
     std::vector<fingerprint> granted;
     for (const auto content : wanted) {
-        auto& turn = board.m_turns.try_emplace(content, content_turn{holder, now}).first->second;
-        if (turn.m_holder == holder) {
-            turn.m_deadline = now + turn_lease;
+        auto& assigned =
+            board.m_run_grants.try_emplace(content, run_grant{holder, now}).first->second;
+        if (assigned.m_holder == holder) {
+            assigned.m_deadline = now + run_grant_lease;
             granted.push_back(content);
         }
     }
--- a/dewbeam/src/registrar/suspicion_board.h
+++ b/dewbeam/src/registrar/suspicion_board.h
@@ -1,11 +1,11 @@
 /// \file
-/// Suspicions of contents, as gateways and registries keep and pass them on, and the turns in which
-/// gateways run suspected contents.
+/// Suspicions of request contents, as gateways and registries store and exchange them, and the
+/// exclusive grants under which gateways run suspected contents.
 ///
-/// Every gateway tells every registry what it learned, whoever it learned it from, and every
-/// registry tells every gateway. A registry that starts empty, and two sides of a cut that heals,
-/// are brought up to date that way. Each board numbers its changes, so that only what is new is
-/// sent.
+/// Every gateway sends each suspicion to every registry, whatever its source, and every registry
+/// sends each to every gateway. This also brings a registry that starts empty up to date, and both
+/// sides of a network partition that heals. Each store numbers its changes, so that only changes
+/// are sent.
 #pragma once
 
 #include <map>
@@ -18,21 +18,21 @@
 
 namespace dewbeam::registrar {
 
-/// A suspicion and the pool that it belongs to.
+/// A suspicion with its pool.
 struct noted_suspicion {
     std::string m_pool;
     quarantine::suspicion m_record;
 };
 
-/// Who runs a suspected content now.
-struct content_turn {
+/// The exclusive grant to run a suspected content.
+struct run_grant {
     permits::holder_id m_holder;
-    time_point m_deadline{};  ///< then another gateway may have it
+    time_point m_deadline{};  ///< from then on another gateway may get the grant
 };
 
-/// What one process knows.
+/// All suspicions and grants that one process knows.
 struct suspicion_board {
-    /// Where a record belongs, and the number of its last change.
+    /// The pool of a record and the number of its last change.
     struct entry {
         std::string m_pool;
         std::uint64_t m_change = 0;
@@ -41,29 +41,29 @@
     quarantine::suspicion_table m_table;
     std::map<fingerprint, entry> m_entries;
     std::uint64_t m_last_change = 0;
-    std::map<fingerprint, content_turn> m_turns;
+    std::map<fingerprint, run_grant> m_run_grants;
 };
 
-/// Takes a record in; gives the part that was news.
-std::optional<quarantine::suspicion> take(suspicion_board& board, const noted_suspicion& heard);
+/// Merges a record; returns the part that was new.
+std::optional<quarantine::suspicion> take(suspicion_board& board, const noted_suspicion& received);
 
-/// A run of a content ended well; gives the record where that speaks against a death.
+/// Records that a run of a content succeeded; returns the record if this outweighs a crash report.
 std::optional<noted_suspicion> outweigh(suspicion_board& board, fingerprint content,
                                         time_point now);
 
-/// Forgets what has run out.
+/// Removes expired suspicions and grants.
 void expire(suspicion_board& board, time_point now);
 
-/// Writes the records that changed after `change`, the oldest changes first and as many as fit.
+/// Writes the records that changed after `change`, oldest changes first, up to a limit.
 /// \returns the number of the last change written, or `change`
 std::uint64_t put_changes(const suspicion_board& board, std::uint64_t change, time_point now,
                           google::protobuf::RepeatedPtrField<wire::Suspicion>& out);
 
 noted_suspicion from_wire(const wire::Suspicion& source, time_point now);
 
-/// Registries only: sets all turns that a gateway wants; those that it had and doesn't name are
-/// free again.
-/// \returns the ones that it has
+/// Registries only: renews or assigns the grants that a gateway requests, and releases those that
+/// it held and doesn't request any more.
+/// \returns the contents whose grant it holds
 std::vector<fingerprint> set_wanted_turns(suspicion_board& board, const permits::holder_id& holder,
                                           const std::vector<fingerprint>& wanted, time_point now);
 
--- a/dewbeam/src/registrar/watchers.cpp
+++ b/dewbeam/src/registrar/watchers.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// Three watches of the slowest follower: one lost watch ends no lease.
+/// Three watch intervals of the slowest follower, so that one lost watch doesn't expire a lease.
 constexpr time_span lease = std::chrono::milliseconds(3500);
 
-void withdraw_sums(watcher_table& table, const watcher& subject)
+void subtract_loads(watcher_table& table, const watcher& subject)
 {
     for (const auto& [upstream, count] : subject.m_loads) {
         const auto place = table.m_loads.find(upstream);
@@ -26,32 +26,32 @@
     table.m_is_packed = table.m_is_packed && subject.m_loads.empty();
 }
 
-/// Each upstream is taken in once, whatever the message repeats.
-void take_loads(watcher_table& table, watcher& subject, const wire::Watch& watch)
+/// If a message names an upstream several times, its last non-zero load counts.
+void update_loads(watcher_table& table, watcher& subject, const wire::Watch& watch)
 {
-    std::map<std::string, std::uint32_t> told;
+    std::map<std::string, std::uint32_t> reported;
     for (const auto& item : watch.loads()) {
         if (item.in_flight() > 0) {
-            told[item.upstream()] = item.in_flight();
+            reported[item.upstream()] = item.in_flight();
         }
     }
-    subject.m_loads.assign(told.begin(), told.end());
+    subject.m_loads.assign(reported.begin(), reported.end());
     for (const auto& [upstream, count] : subject.m_loads) {
         table.m_loads[upstream] += count;
     }
     table.m_is_packed = table.m_is_packed && subject.m_loads.empty();
 }
 
-void take_paces(watcher_table& table, const link::peer& from, const wire::Watch& watch)
+void update_slowdowns(watcher_table& table, const link::peer& from, const wire::Watch& watch)
 {
     if (watch.paces().empty()) {
-        table.m_paces.erase(from);
+        table.m_slowdowns.erase(from);
         return;
     }
-    auto& told = table.m_paces[from];
-    told.clear();
+    auto& reported = table.m_slowdowns[from];
+    reported.clear();
     for (const auto& item : watch.paces()) {
-        told.emplace_back(item.upstream(), item.pace());
+        reported.emplace_back(item.upstream(), item.pace());
     }
 }
 
@@ -59,8 +59,8 @@
 
 watcher_place erase(watcher_table& table, watcher_place place)
 {
-    withdraw_sums(table, place->second);
-    table.m_paces.erase(place->first);
+    subtract_loads(table, place->second);
+    table.m_slowdowns.erase(place->first);
     table.m_gateways -= place->second.m_is_gateway ? 1 : 0;
     return table.m_watchers.erase(place);
 }
@@ -81,17 +81,17 @@
 
 }  // namespace
 
-watcher& note_watch(watcher_table& table, const link::peer& from, const wire::Watch& watch,
-                    time_point now)
+watcher& apply_watch(watcher_table& table, const link::peer& from, const wire::Watch& watch,
+                     time_point now)
 {
     auto& subject = table.m_watchers[from];
-    withdraw_sums(table, subject);
+    subtract_loads(table, subject);
     table.m_gateways -= subject.m_is_gateway ? 1 : 0;
     subject.m_lease_deadline = now + lease;
     subject.m_is_gateway = watch.is_gateway();
     table.m_gateways += subject.m_is_gateway ? 1 : 0;
-    take_loads(table, subject, watch);
-    take_paces(table, from, watch);
+    update_loads(table, subject, watch);
+    update_slowdowns(table, from, watch);
     return subject;
 }
 
@@ -109,9 +109,9 @@
     }
 }
 
-void forget(watcher_table& table, const link::peer& gone)
+void forget(watcher_table& table, const link::peer& disconnected)
 {
-    const auto place = table.m_watchers.find(gone);
+    const auto place = table.m_watchers.find(disconnected);
     if (place != table.m_watchers.end()) {
         erase(table, place);
     }
@@ -127,11 +127,11 @@
         load.set_upstream(upstream);
         load.set_in_flight(count);
     }
-    for (const auto& [watcher, paces] : table.m_paces) {
-        for (const auto& [upstream, pace] : paces) {
+    for (const auto& [watcher, slowdowns] : table.m_slowdowns) {
+        for (const auto& [upstream, slowdown] : slowdowns) {
             auto& item = *news.add_paces();
             item.set_upstream(upstream);
-            item.set_pace(pace);
+            item.set_pace(slowdown);
         }
     }
 }
@@ -156,13 +156,13 @@
     return result;
 }
 
-void put_upstreams(const registry::table& known, std::uint64_t change, bool whole,
+void put_upstreams(const registry::table& known, std::uint64_t change, bool send_all,
                    wire::WatchNews& news)
 {
-    for (const auto* item : registry::changes_since(known, whole ? 0 : change)) {
+    for (const auto* item : registry::changes_since(known, send_all ? 0 : change)) {
         to_wire(*item, *news.add_upstreams());
     }
-    news.set_whole(whole);
+    news.set_whole(send_all);
     news.set_change(known.m_last_change);
 }
 
--- a/dewbeam/src/registrar/watchers.h
+++ b/dewbeam/src/registrar/watchers.h
@@ -1,6 +1,6 @@
 /// \file
-/// The gateways and rank agents that watch a registry: their leases, what they were told, what they
-/// have under way.
+/// The gateways and rank agents that watch a registry: their leases, the changes sent to them, and
+/// their requests in flight.
 #pragma once
 
 #include <map>
@@ -14,48 +14,50 @@
 
 namespace dewbeam::registrar {
 
-/// A watching gateway.
+/// A gateway or rank agent that watches.
 struct watcher {
     time_point m_lease_deadline{};
-    std::uint64_t m_told_change = 0;  ///< sent, perhaps not yet arrived
+    std::uint64_t m_sent_change = 0;  ///< last change sent; it may not have arrived yet
     std::vector<std::pair<std::string, std::uint32_t>> m_loads;
     bool m_is_gateway = false;
-    std::uint64_t m_told_suspicion = 0;  ///< as `m_told_change`, of suspicions
+    std::uint64_t m_sent_suspicion = 0;  ///< the same for suspicions
 };
 
-/// All of them. Sums are kept up to date by what each telling changes, since every gateway asks for
-/// them several times a second.
+/// All watchers. The sums of loads are updated incrementally with each watch, since every gateway
+/// requests them several times a second.
 struct watcher_table {
     std::map<link::peer, watcher> m_watchers;
-    std::uint32_t m_gateways = 0;                  ///< among the watchers
-    std::map<std::string, std::uint32_t> m_loads;  ///< by upstream: what all gateways have there
-    std::string m_packed_loads;                    ///< the same, as it is sent
-    bool m_is_packed = false;                      ///< `m_packed_loads` holds the sums of now
-    /// Of upstreams that are slow, by the watcher that told them.
-    std::map<link::peer, std::vector<std::pair<std::string, double>>> m_paces;
+    std::uint32_t m_gateways = 0;  ///< among the watchers
+    std::map<std::string, std::uint32_t>
+        m_loads;                 ///< requests in flight of all gateways, by upstream
+    std::string m_packed_loads;  ///< the same, serialized for sending
+    bool m_is_packed = false;    ///< `m_packed_loads` is up to date
+    /// Slowdowns of slow upstreams, by the watcher that reported them.
+    std::map<link::peer, std::vector<std::pair<std::string, double>>> m_slowdowns;
 };
 
-/// Takes a watch in.
-watcher& note_watch(watcher_table& table, const link::peer& from, const wire::Watch& watch,
-                    time_point now);
+/// Applies a watch and renews the lease of its sender.
+watcher& apply_watch(watcher_table& table, const link::peer& from, const wire::Watch& watch,
+                     time_point now);
 
-/// Forgets watchers whose lease ended.
+/// Removes the watchers whose lease expired.
 void expire(watcher_table& table, time_point now);
 
-/// For so long this registry read nothing of what watchers sent.
+/// Extends all leases by the time for which this registry read no messages.
 void put_off_leases(watcher_table& table, time_span held_up, time_point now);
 
-/// Forgets one whose connection is over.
-void forget(watcher_table& table, const link::peer& gone);
+/// Removes a watcher whose connection is closed.
+void forget(watcher_table& table, const link::peer& disconnected);
 
-/// What all gateways have under way, which part of it is `self`'s, and which upstreams are slow.
+/// Writes the requests in flight of all gateways, the part of them that `self` reported, and the
+/// slowdowns of slow upstreams.
 void put_loads(watcher_table& table, const watcher& self, wire::WatchNews& news);
 
-/// What `put_loads` wrote, without the asking gateway's part; nothing where it can't be read.
+/// The loads that `put_loads` wrote, without the receiving gateway's own; empty if unreadable.
 std::map<std::string, std::uint32_t> loads_of_others(const wire::WatchNews& news);
 
-/// Changes of upstreams after `change`, or all of them.
-void put_upstreams(const registry::table& known, std::uint64_t change, bool whole,
+/// Writes the upstreams that changed after `change`, or all if `send_all`.
+void put_upstreams(const registry::table& known, std::uint64_t change, bool send_all,
                    wire::WatchNews& news);
 
 }  // namespace dewbeam::registrar
--- a/test/registry_test.cpp
+++ b/test/registry_test.cpp
@@ -1,4 +1,4 @@
-// Announced upstreams, revisions, and the ends that a majority must hold.
+// Announced upstreams, revisions, and quorum acknowledgements of leaving upstreams.
 #include "dewbeam/registry"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-announcement beat(std::uint64_t number, upstream_state state = upstream_state::ready)
+announcement make_announcement(std::uint64_t number, upstream_state state = upstream_state::ready)
 {
     announcement result;
     result.m_name = upstream_id("u1");
@@ -37,11 +37,13 @@
 {
     table known;
     const time_point now{};
-    EXPECT_EQ(merge(known, beat(1), now), merge_result::changed);
-    EXPECT_EQ(merge(known, beat(2), now), merge_result::renewed);
-    EXPECT_EQ(merge(known, beat(2), now), merge_result::nothing);
-    EXPECT_EQ(merge(known, beat(4, upstream_state::leaving), now), merge_result::changed);
-    EXPECT_EQ(merge(known, beat(3), now), merge_result::nothing) << "sent before it left";
+    EXPECT_EQ(merge(known, make_announcement(1), now), merge_result::changed);
+    EXPECT_EQ(merge(known, make_announcement(2), now), merge_result::renewed);
+    EXPECT_EQ(merge(known, make_announcement(2), now), merge_result::nothing);
+    EXPECT_EQ(merge(known, make_announcement(4, upstream_state::leaving), now),
+              merge_result::changed);
+    EXPECT_EQ(merge(known, make_announcement(3), now), merge_result::nothing)
+        << "sent before it left";
     EXPECT_EQ(known.m_records.begin()->second.m_announced.m_state, upstream_state::leaving);
 }
 
@@ -49,7 +51,7 @@
 {
     table known;
     EXPECT_EQ(end_upstream(known, upstream_id("u1"), {}, {}), merge_result::changed);
-    EXPECT_EQ(merge(known, beat(9), {}), merge_result::nothing);
+    EXPECT_EQ(merge(known, make_announcement(9), {}), merge_result::nothing);
     EXPECT_EQ(changes_since(known, 0).front()->m_announced.m_state, upstream_state::gone);
     forget_old(known, time_point(minutes(6)));
     EXPECT_TRUE(known.m_records.empty());
@@ -58,23 +60,24 @@
 TEST(registry, silence_is_news_and_so_is_its_end)
 {
     table known;
-    merge(known, beat(1), {});
+    merge(known, make_announcement(1), {});
     note_silence(known, time_point(milliseconds(4499)));
     EXPECT_FALSE(known.m_records.begin()->second.m_is_silent);
     note_silence(known, time_point(milliseconds(4500)));
     EXPECT_TRUE(known.m_records.begin()->second.m_is_silent);
-    const auto told = known.m_last_change;
-    EXPECT_EQ(merge(known, beat(2), time_point(seconds(5))), merge_result::changed);
-    EXPECT_EQ(changes_since(known, told).size(), 1U);
-    EXPECT_EQ(merge_silence(known, beat(1)), merge_result::nothing) << "it was heard after that";
-    EXPECT_EQ(merge_silence(known, beat(2)), merge_result::changed);
+    const auto reported = known.m_last_change;
+    EXPECT_EQ(merge(known, make_announcement(2), time_point(seconds(5))), merge_result::changed);
+    EXPECT_EQ(changes_since(known, reported).size(), 1U);
+    EXPECT_EQ(merge_silence(known, make_announcement(1)), merge_result::nothing)
+        << "it was heard after that";
+    EXPECT_EQ(merge_silence(known, make_announcement(2)), merge_result::changed);
 }
 
-announcement beat_of(std::uint64_t life, std::uint64_t number,
-                     upstream_state state = upstream_state::ready)
+announcement announcement_of(std::uint64_t incarnation_number, std::uint64_t number,
+                             upstream_state state = upstream_state::ready)
 {
-    auto result = beat(number, state);
-    result.m_incarnation = incarnation(life);
+    auto result = make_announcement(number, state);
+    result.m_incarnation = incarnation(incarnation_number);
     return result;
 }
 
@@ -86,21 +89,22 @@
 TEST(registry, a_restarted_upstream_counts_its_announcements_anew)
 {
     table known;
-    merge(known, beat_of(1000, 40), {});
-    EXPECT_EQ(merge(known, beat_of(2000, 1), {}), merge_result::changed);
-    EXPECT_EQ(merge(known, beat_of(1000, 41), {}), merge_result::nothing) << "sent before it ended";
-    EXPECT_EQ(merge(known, beat_of(2000, 2), {}), merge_result::renewed);
-    EXPECT_EQ(merge_silence(known, beat_of(1000, 99)), merge_result::nothing)
+    merge(known, announcement_of(1000, 40), {});
+    EXPECT_EQ(merge(known, announcement_of(2000, 1), {}), merge_result::changed);
+    EXPECT_EQ(merge(known, announcement_of(1000, 41), {}), merge_result::nothing)
+        << "sent before it ended";
+    EXPECT_EQ(merge(known, announcement_of(2000, 2), {}), merge_result::renewed);
+    EXPECT_EQ(merge_silence(known, announcement_of(1000, 99)), merge_result::nothing)
         << "the life before fell silent";
 }
 
 TEST(registry, an_end_holds_for_the_incarnation_that_ended_alone)
 {
     table known;
-    merge(known, beat_of(1000, 1), {});
+    merge(known, announcement_of(1000, 1), {});
     end_upstream(known, upstream_id("u1"), {}, {});
-    EXPECT_EQ(merge(known, beat_of(1000, 2), {}), merge_result::nothing);
-    EXPECT_EQ(merge(known, beat_of(2000, 1), {}), merge_result::changed);
+    EXPECT_EQ(merge(known, announcement_of(1000, 2), {}), merge_result::nothing);
+    EXPECT_EQ(merge(known, announcement_of(2000, 1), {}), merge_result::changed);
     EXPECT_EQ(state_of(known), upstream_state::ready);
     EXPECT_EQ(end_upstream(known, upstream_id("u1"), incarnation(1000), {}), merge_result::nothing)
         << "an end of the life before, told late";
@@ -111,36 +115,37 @@
 {
     table known;
     end_upstream(known, upstream_id("u1"), {}, {});
-    EXPECT_EQ(merge(known, beat_of(1000, 9), time_point(milliseconds(9999))),
+    EXPECT_EQ(merge(known, announcement_of(1000, 9), time_point(milliseconds(9999))),
               merge_result::nothing);
-    EXPECT_EQ(merge(known, beat_of(2000, 9), time_point(seconds(10))), merge_result::changed);
+    EXPECT_EQ(merge(known, announcement_of(2000, 9), time_point(seconds(10))),
+              merge_result::changed);
     EXPECT_EQ(state_of(known), upstream_state::ready);
 }
 
 RC_GTEST_PROP(registry, registries_that_heard_the_same_know_the_same, (std::uint64_t seed))
 {
     random_engine random(seed);
-    std::vector<announcement> heard;
+    std::vector<announcement> received;
     for (std::uint64_t i = 0; i < 12; ++i) {
-        auto item = beat_of(uniform_below(random, 2) + 1, uniform_below(random, 6) + 1);
+        auto item = announcement_of(uniform_below(random, 2) + 1, uniform_below(random, 6) + 1);
         item.m_name = upstream_id("u" + std::to_string(uniform_below(random, 3)));
         const auto kind = uniform_below(random, 8);
         item.m_state = kind == 0   ? upstream_state::gone
                        : kind == 1 ? upstream_state::leaving
                                    : upstream_state::ready;
-        // One number stands for one content, as an upstream sends it.
+        // The sequence number determines the content, since an upstream never reuses a number.
         item.m_state =
             kind > 0 ? (item.m_number.value() > 4 ? upstream_state::leaving : upstream_state::ready)
                      : item.m_state;
-        heard.push_back(item);
+        received.push_back(item);
     }
     table first;
     table second;
-    for (const auto& item : heard) {
+    for (const auto& item : received) {
         merge(first, item, {});
     }
-    std::shuffle(heard.begin(), heard.end(), random);
-    for (const auto& item : heard) {
+    std::shuffle(received.begin(), received.end(), random);
+    for (const auto& item : received) {
         merge(second, item, {});
         merge(second, item, {});
     }
@@ -152,50 +157,50 @@
 
 TEST(registry_feed, many_gateways_ask_for_loads_less_often)
 {
-    const auto longest = milliseconds(250);
-    EXPECT_EQ(registrar::loads_interval(1, longest), milliseconds(100));
-    EXPECT_EQ(registrar::loads_interval(30, longest), milliseconds(180));
-    EXPECT_EQ(registrar::loads_interval(420, longest), longest);
+    const auto max_interval = milliseconds(250);
+    EXPECT_EQ(registrar::loads_interval(1, max_interval), milliseconds(100));
+    EXPECT_EQ(registrar::loads_interval(30, max_interval), milliseconds(180));
+    EXPECT_EQ(registrar::loads_interval(420, max_interval), max_interval);
 }
 
-// One of three seeds leads to another deployment's registry, which answers first.
+// One of three seeds is a registry of another deployment, and it answers first.
 TEST(log_choice, a_wrong_seed_is_outvoted)
 {
     registrar::log_choice state;
     const time_point now{};
-    registrar::note_log(state, "strange", log_id(9), 3, now);
-    EXPECT_FALSE(registrar::may_take(state, log_id(9)));
-    registrar::note_log(state, "a", log_id(5), 3, now);
-    EXPECT_FALSE(registrar::may_take(state, log_id(5)));
-    registrar::note_log(state, "b", log_id(5), 3, now);
+    registrar::record_log(state, "strange", log_id(9), 3, now);
+    EXPECT_FALSE(registrar::may_apply_update(state, log_id(9)));
+    registrar::record_log(state, "a", log_id(5), 3, now);
+    EXPECT_FALSE(registrar::may_apply_update(state, log_id(5)));
+    registrar::record_log(state, "b", log_id(5), 3, now);
     EXPECT_EQ(state.m_chosen, log_id(5));
-    registrar::note_log(state, "a", log_id(9), 3, now);  // the first choice holds
-    EXPECT_TRUE(registrar::may_take(state, log_id(5)));
-    EXPECT_FALSE(registrar::may_take(state, log_id(9)));
+    registrar::record_log(state, "a", log_id(9), 3, now);  // a log once chosen is kept
+    EXPECT_TRUE(registrar::may_apply_update(state, log_id(5)));
+    EXPECT_FALSE(registrar::may_apply_update(state, log_id(9)));
 }
 
 TEST(log_choice, does_not_wait_long_for_seeds_that_are_down)
 {
     registrar::log_choice state;
     time_point now{};
-    registrar::note_log(state, "a", log_id(5), 3, now);
-    now += registrar::log_choice_patience;
-    registrar::note_log(state, "a", log_id(5), 3, now);
-    EXPECT_TRUE(registrar::may_take(state, log_id(5)));
+    registrar::record_log(state, "a", log_id(5), 3, now);
+    now += registrar::log_choice_timeout;
+    registrar::record_log(state, "a", log_id(5), 3, now);
+    EXPECT_TRUE(registrar::may_apply_update(state, log_id(5)));
 }
 
 TEST(log_choice, registries_that_belong_to_no_log_are_taken_at_their_word)
 {
     registrar::log_choice state;
-    registrar::note_log(state, "a", {}, 1, {});
-    EXPECT_TRUE(registrar::may_take(state, {}));
+    registrar::record_log(state, "a", {}, 1, {});
+    EXPECT_TRUE(registrar::may_apply_update(state, {}));
     EXPECT_EQ(state.m_chosen, log_id{});
 }
 
 TEST(registry, records_survive_the_wire)
 {
     table first;
-    auto item = beat(3);
+    auto item = make_announcement(3);
     item.m_group = group_place{"g", 2, rank_id(5), true};
     item.m_incarnation = incarnation(1'796'000'000'000);
     merge(first, item, {});
@@ -233,17 +238,17 @@
 
 TEST(holds, an_end_is_held_once_enough_voters_answered)
 {
-    registrar::hold_table table;
-    int held = 0;
-    int given_up = 0;
-    registrar::hold waiting;
+    registrar::quorum_wait_table table;
+    int recorded = 0;
+    int timed_out = 0;
+    registrar::quorum_wait waiting;
     waiting.m_needed = 2;
     waiting.m_counted = {"a", "b", "c"};
     waiting.m_deadline = time_point(milliseconds(800));
-    waiting.m_done = [&](bool is_held) { ++(is_held ? held : given_up); };
-    table.m_holds.emplace(1, waiting);
-    table.m_holds.emplace(2, waiting);
-    registrar::hold_calls calls;
+    waiting.m_done = [&](bool is_recorded) { ++(is_recorded ? recorded : timed_out); };
+    table.m_quorum_waits.emplace(1, waiting);
+    table.m_quorum_waits.emplace(2, waiting);
+    registrar::quorum_wait_calls calls;
     for (const auto* from : {"a", "a", "stranger", "b", "c"}) {
         registrar::note_answer(table, 1, from, calls);
     }
@@ -253,9 +258,9 @@
     for (const auto& call : calls) {
         call();
     }
-    EXPECT_EQ(held, 1);
-    EXPECT_EQ(given_up, 1);
-    EXPECT_TRUE(table.m_holds.empty());
+    EXPECT_EQ(recorded, 1);
+    EXPECT_EQ(timed_out, 1);
+    EXPECT_TRUE(table.m_quorum_waits.empty());
 }
 
 TEST(watchers, a_gateway_is_told_the_loads_of_all_others)
@@ -267,9 +272,9 @@
     load.set_upstream("u1");
     load.set_in_flight(3);
     for (const auto* address : {"a", "b", "c"}) {
-        registrar::note_watch(table, {address, ""}, watch, {});
+        registrar::apply_watch(table, {address, ""}, watch, {});
     }
-    registrar::note_watch(table, {"rank agent", ""}, {}, {});
+    registrar::apply_watch(table, {"rank agent", ""}, {}, {});
     wire::WatchNews news;
     registrar::put_loads(table, table.m_watchers.at({"a", ""}), news);
     EXPECT_EQ(registrar::loads_of_others(news), (std::map<std::string, std::uint32_t>{{"u1", 6}}));
@@ -283,7 +288,7 @@
 TEST(watchers, leases_are_put_off_by_the_time_for_which_the_registry_was_held_up)
 {
     registrar::watcher_table table;
-    registrar::note_watch(table, {"a", ""}, {}, {});
+    registrar::apply_watch(table, {"a", ""}, {}, {});
     registrar::put_off_leases(table, seconds(3), time_point(seconds(3)));
     registrar::expire(table, time_point(seconds(6)));
     EXPECT_EQ(table.m_watchers.size(), 1U);
@@ -306,20 +311,20 @@
         else {
             wire::Watch watch;
             watch.set_is_gateway(true);
-            auto& told = expected[gateway];
-            told.clear();
+            auto& reported = expected[gateway];
+            reported.clear();
             for (const char* upstream : {"u1", "u2", "u3"}) {
                 const auto count = static_cast<std::uint32_t>(uniform_below(random, 4));
                 auto& load = *watch.add_loads();
                 load.set_upstream(upstream);
                 load.set_in_flight(count);
-                told[upstream] = count;
+                reported[upstream] = count;
             }
-            registrar::note_watch(table, from, watch, {});
+            registrar::apply_watch(table, from, watch, {});
         }
         std::map<std::string, std::uint32_t> sums;
-        for (const auto& [name, told] : expected) {
-            for (const auto& [upstream, count] : told) {
+        for (const auto& [name, reported] : expected) {
+            for (const auto& [upstream, count] : reported) {
                 sums[upstream] += count;
             }
         }
@@ -353,7 +358,7 @@
         registrar::next_request(state, sources, 1, false, time_point(milliseconds(1000)));
     EXPECT_NE(second, "");
     EXPECT_NE(second, first);
-    registrar::note_lost(state, second);
+    registrar::record_disconnect(state, second);
     EXPECT_EQ(registrar::next_request(state, sources, 1, false, time_point(milliseconds(1001))),
               first);
     registrar::note_answer(state, first, time_point(milliseconds(1200)));
@@ -385,10 +390,10 @@
 
 TEST(registry_feed, many_gateways_ask_registries_that_tell_no_loads_less_often)
 {
-    const auto shortest = milliseconds(250);
-    EXPECT_EQ(registrar::news_interval(8, shortest), shortest);
-    EXPECT_EQ(registrar::news_interval(150, shortest), milliseconds(500));
-    EXPECT_EQ(registrar::news_interval(420, shortest), milliseconds(500));
+    const auto min_interval = milliseconds(250);
+    EXPECT_EQ(registrar::update_interval(8, min_interval), min_interval);
+    EXPECT_EQ(registrar::update_interval(150, min_interval), milliseconds(500));
+    EXPECT_EQ(registrar::update_interval(420, min_interval), milliseconds(500));
 }
 
 }  // namespace
--- a/test/revision_spread_test.cpp
+++ b/test/revision_spread_test.cpp
@@ -1,4 +1,4 @@
-// How fast a new revision reaches every gateway, over links that carry so many bytes a second.
+// Simulates how fast a new revision reaches every gateway over links of limited bandwidth.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,15 +20,15 @@
 constexpr time_span one_way = milliseconds(1);
 constexpr time_span step = milliseconds(5);
 constexpr time_span feed_tick = milliseconds(20);
-/// The longest time from an acknowledgement to the last gateway.
+/// Maximum time from the acknowledgement of a revision until every gateway has it.
 constexpr time_span apply_limit = milliseconds(2500);
 
-/// A link that sends one message after the other.
+/// A link that transmits messages sequentially at a fixed rate.
 struct uplink {
     double m_rate = 0.0;
     time_point m_free_at{};
 
-    time_point pass(std::size_t bytes, time_point now)
+    time_point transmit(std::size_t bytes, time_point now)
     {
         const auto span = std::chrono::duration<double>(static_cast<double>(bytes) / m_rate);
         m_free_at = std::max(m_free_at, now) + std::chrono::duration_cast<time_span>(span);
@@ -49,16 +49,16 @@
     }
 };
 
-struct registry_stand_in {
+struct simulated_registry {
     std::string m_address;
     uplink m_link{registry_rate};
     revisions::revision_store m_held;
     revision_news m_news;
-    bool m_is_silent = false;  ///< gets everything and answers nothing
+    bool m_is_silent = false;  ///< receives everything but answers nothing
     std::uint64_t m_documents = 0;
 };
 
-struct gateway_stand_in {
+struct simulated_gateway {
     std::unique_ptr<registry_feed> m_feed;
     uplink m_link{gateway_rate};
 };
@@ -79,7 +79,7 @@
     return result + "{}]}";
 }
 
-/// Registries and the gateways that watch them.
+/// Simulated registries and the gateways that watch them.
 class deployment {
 public:
     deployment(std::size_t registries, std::size_t gateways)
@@ -94,7 +94,7 @@
             m_gateways.emplace_back();
             feed_handlers handlers;
             handlers.m_send = [this, i](const std::string& address, wire::Envelope&& message) {
-                ask(i, address, message);
+                send_watch(i, address, message);
             };
             handlers.m_follow_log = [](log_id) {};
             handlers.m_on_upstream = [](const registry::record&) {};
@@ -108,8 +108,8 @@
         }
     }
 
-    /// The registry at `place` applies a revision and tells every gateway its number.
-    void adopt(std::size_t place, std::uint64_t number, const std::string& content)
+    /// The registry at `place` applies a revision and sends every gateway its number.
+    void apply_revision(std::size_t place, std::uint64_t number, const std::string& content)
     {
         auto& subject = m_registries[place];
         revisions::apply(subject.m_held, {revisions::revision_number(number), content});
@@ -136,7 +136,7 @@
         }
     }
 
-    [[nodiscard]] std::size_t behind(std::uint64_t number) const
+    [[nodiscard]] std::size_t count_outdated(std::uint64_t number) const
     {
         return static_cast<std::size_t>(std::count_if(
             m_gateways.begin(), m_gateways.end(),
@@ -152,10 +152,10 @@
         return result;
     }
 
-    std::vector<registry_stand_in> m_registries;
+    std::vector<simulated_registry> m_registries;
 
 private:
-    void ask(std::size_t gateway, const std::string& address, const wire::Envelope& message)
+    void send_watch(std::size_t gateway, const std::string& address, const wire::Envelope& message)
     {
         for (std::size_t i = 0; i < m_registries.size(); ++i) {
             if (m_registries[i].m_address == address && !m_registries[i].m_is_silent) {
@@ -174,8 +174,8 @@
         subject.m_news.put(subject.m_held, true, watch, news);
         subject.m_documents += news.has_revision() ? 1 : 0;
         const auto bytes = item.m_message.ByteSizeLong();
-        const auto sent_at = subject.m_link.pass(bytes, m_now + one_way);
-        item.m_at = m_gateways[gateway].m_link.pass(bytes, sent_at) + one_way;
+        const auto sent_at = subject.m_link.transmit(bytes, m_now + one_way);
+        item.m_at = m_gateways[gateway].m_link.transmit(bytes, sent_at) + one_way;
         item.m_order = ++m_last_order;
         item.m_from = place;
         item.m_to = gateway;
@@ -185,15 +185,16 @@
     time_point m_now{seconds(100)};
     time_point m_next_tick{};
     std::uint64_t m_last_order = 0;
-    std::vector<gateway_stand_in> m_gateways;
+    std::vector<simulated_gateway> m_gateways;
     std::priority_queue<delivery> m_deliveries;
 };
 
-/// Followers apply an entry at the leader's next heartbeat.
-void adopt_everywhere(deployment& subject, std::uint64_t number, const std::string& content)
+/// Applies a revision at all registries, 10 ms apart: followers apply an entry only at the leader's
+/// next heartbeat.
+void apply_at_all_registries(deployment& subject, std::uint64_t number, const std::string& content)
 {
     for (std::size_t i = 0; i < subject.m_registries.size(); ++i) {
-        subject.adopt(i, number, content);
+        subject.apply_revision(i, number, content);
         subject.run_for(milliseconds(10));
     }
 }
@@ -202,43 +203,43 @@
 {
     deployment subject(6, 42);
     const auto content = document(5840, 1);
-    adopt_everywhere(subject, 1, content);
+    apply_at_all_registries(subject, 1, content);
     subject.run_for(seconds(10));
-    ASSERT_EQ(subject.behind(1), 0U);
+    ASSERT_EQ(subject.count_outdated(1), 0U);
     std::uint64_t last = 1;
     for (int i = 0; i < 66; ++i) {
-        adopt_everywhere(subject, ++last, content);
+        apply_at_all_registries(subject, ++last, content);
     }
     subject.run_for(apply_limit);
-    EXPECT_EQ(subject.behind(last), 0U) << "gateways that hold an older revision";
+    EXPECT_EQ(subject.count_outdated(last), 0U) << "gateways that hold an older revision";
 }
 
 TEST(revision_spread, a_document_that_is_on_its_way_is_not_fetched_again)
 {
     deployment subject(6, 42);
-    adopt_everywhere(subject, 1, document(5840, 1));
+    apply_at_all_registries(subject, 1, document(5840, 1));
     subject.run_for(seconds(10));
-    ASSERT_EQ(subject.behind(1), 0U);
+    ASSERT_EQ(subject.count_outdated(1), 0U);
     const auto before = subject.documents();
-    adopt_everywhere(subject, 2, document(5840, 2));
+    apply_at_all_registries(subject, 2, document(5840, 2));
     subject.run_for(apply_limit);
-    EXPECT_EQ(subject.behind(2), 0U);
+    EXPECT_EQ(subject.count_outdated(2), 0U);
     EXPECT_EQ(subject.documents() - before, 42U) << "one for each gateway";
 }
 
 TEST(revision_spread, a_registry_that_falls_silent_delays_no_revision)
 {
     deployment subject(6, 42);
-    adopt_everywhere(subject, 1, document(240, 1));
+    apply_at_all_registries(subject, 1, document(240, 1));
     subject.run_for(seconds(2));
-    ASSERT_EQ(subject.behind(1), 0U);
-    subject.adopt(0, 2, document(240, 2));
+    ASSERT_EQ(subject.count_outdated(1), 0U);
+    subject.apply_revision(0, 2, document(240, 2));
     subject.m_registries[0].m_is_silent = true;
     for (std::size_t i = 1; i < subject.m_registries.size(); ++i) {
-        subject.adopt(i, 2, document(240, 2));
+        subject.apply_revision(i, 2, document(240, 2));
     }
     subject.run_for(apply_limit);
-    EXPECT_EQ(subject.behind(2), 0U);
+    EXPECT_EQ(subject.count_outdated(2), 0U);
 }
 
 }  // namespace
