--- a/dewbeam/src/registry/announcement.h
+++ b/dewbeam/src/registry/announcement.h
@@ -1,5 +1,5 @@
 /// \file
-/// What an upstream says of itself.
+/// The announcements in which upstreams describe themselves.
 #pragma once
 
 #include <cstdint>
@@ -10,40 +10,40 @@
 
 namespace dewbeam::registry {
 
-/// Counts the announcements of one life of an upstream up, so that a late one is recognised.
+/// Sequence number of an announcement within one incarnation of an upstream; detects late ones.
 using announcement_number = strong<struct announcement_tag, std::uint64_t>;
 
-/// Where an upstream stands.
+/// The lifecycle state of an upstream.
 enum class upstream_state {
     ready,
-    leaving,  ///< takes no new work
-    gone,     ///< this life is over for good; a later one may have the same name
+    leaving,  ///< accepts no new work
+    gone,     ///< this incarnation has ended permanently; a later one may have the same name
 };
 
-/// Name of a state in logs and pages.
+/// The name of a state in logs and status pages.
 const char* to_string(upstream_state value);
 
-/// An upstream's place in a lock-step group of ranks.
+/// The position of an upstream in a lock-step group of ranks.
 struct group_place {
     std::string m_group;
-    std::uint64_t m_epoch = 0;  ///< counts the group's formations
+    std::uint64_t m_epoch = 0;  ///< incremented each time the group forms
     rank_id m_rank;
-    bool m_is_broken = false;  ///< a rank is missing, so that the whole group stands still
+    bool m_is_broken = false;  ///< a rank is missing, so the whole group is stalled
 
     friend bool operator==(const group_place&, const group_place&) = default;
 };
 
-/// One announcement. An upstream that restarted may keep its name: it is then another incarnation,
-/// which holds and knows nothing of the one before and counts its announcements anew. An address
-/// says nothing of identity, since another upstream may get it soon.
+/// One announcement. An upstream that restarts may keep its name. It is then a new incarnation,
+/// which has no state of the previous one and numbers its announcements from the start again. The
+/// address doesn't identify an upstream, since it may soon be reassigned to another one.
 struct announcement {
     upstream_id m_name;
-    incarnation m_incarnation;  ///< a later life has a higher one; 0: not known
+    incarnation m_incarnation;  ///< increases with each restart; 0: unknown
     std::string m_service;
     endpoint m_address;
     failure_domain_id m_failure_domain;
     std::string m_software;     ///< version of its software
-    std::uint32_t m_slots = 1;  ///< requests that it runs at once
+    std::uint32_t m_slots = 1;  ///< requests that it runs concurrently
     upstream_state m_state = upstream_state::ready;
     announcement_number m_number;
     std::optional<group_place> m_group;
--- a/dewbeam/src/registry/table.cpp
+++ b/dewbeam/src/registry/table.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Whether followers must learn of the difference; the number alone tells them nothing.
-bool differs(const announcement& known, const announcement& heard)
+/// Whether followers must be sent the difference; the sequence number alone doesn't matter to them.
+bool differs(const announcement& known, const announcement& received)
 {
-    auto same_number = heard;
+    auto same_number = received;
     same_number.m_number = known.m_number;
     return same_number != known;
 }
@@ -25,18 +25,18 @@
     return subject.m_announced.m_state == upstream_state::gone;
 }
 
-/// Whether an announcement says more than what is known of its upstream.
-bool is_newer(const table& state, const record& known, const announcement& heard, time_point now)
+/// Whether an announcement is newer than the known state of its upstream.
+bool is_newer(const table& state, const record& known, const announcement& received, time_point now)
 {
     const auto& held = known.m_announced;
     if (is_gone(known) && held.m_incarnation == incarnation{}) {
-        return heard.m_incarnation != incarnation{} &&
-               known.m_heard_at + state.m_options.m_unknown_end_span <= now;
+        return received.m_incarnation != incarnation{} &&
+               known.m_heard_at + state.m_options.m_unknown_end_window <= now;
     }
-    if (heard.m_incarnation != held.m_incarnation) {
-        return heard.m_incarnation > held.m_incarnation;
+    if (received.m_incarnation != held.m_incarnation) {
+        return received.m_incarnation > held.m_incarnation;
     }
-    return !is_gone(known) && heard.m_number > held.m_number;
+    return !is_gone(known) && received.m_number > held.m_number;
 }
 
 }  // namespace
@@ -54,23 +54,23 @@
     return "gone";
 }
 
-merge_result merge(table& state, const announcement& heard, time_point now)
+merge_result merge(table& state, const announcement& received, time_point now)
 {
-    if (heard.m_state == upstream_state::gone) {
-        return end_upstream(state, heard.m_name, heard.m_incarnation, now);
+    if (received.m_state == upstream_state::gone) {
+        return end_upstream(state, received.m_name, received.m_incarnation, now);
     }
-    const auto [place, is_new] = state.m_records.try_emplace(heard.m_name);
+    const auto [place, is_new] = state.m_records.try_emplace(received.m_name);
     auto& known = place->second;
     if (is_new) {
-        known.m_announced = heard;
+        known.m_announced = received;
         known.m_heard_at = now;
         return mark_changed(state, known);
     }
-    if (!is_newer(state, known, heard, now)) {
+    if (!is_newer(state, known, received, now)) {
         return merge_result::nothing;
     }
-    const bool is_news = differs(known.m_announced, heard) || known.m_is_silent;
-    known.m_announced = heard;
+    const bool is_news = differs(known.m_announced, received) || known.m_is_silent;
+    known.m_announced = received;
     known.m_heard_at = now;
     known.m_is_silent = false;
     return is_news ? mark_changed(state, known) : merge_result::renewed;
@@ -125,10 +125,10 @@
 {
     std::erase_if(state.m_records, [&](const auto& item) {
         const auto& known = item.second;
-        const bool is_over = is_gone(known);
-        const auto kept_for =
-            is_over ? state.m_options.m_end_kept_for : state.m_options.m_silent_kept_for;
-        return (is_over || known.m_is_silent) && known.m_heard_at + kept_for <= now;
+        const bool has_ended = is_gone(known);
+        const auto retention =
+            has_ended ? state.m_options.m_ended_retention : state.m_options.m_silent_retention;
+        return (has_ended || known.m_is_silent) && known.m_heard_at + retention <= now;
     });
 }
 
