--- a/dewbeam/src/replies/event_splitter.cpp
+++ b/dewbeam/src/replies/event_splitter.cpp
@@ -16,7 +16,7 @@
     return line.starts_with(':');
 }
 
-/// The value of a field line, without the one space that may stand before it.
+/// The value of a field line, without the optional single space before it.
 std::string_view value_of(std::string_view line, std::string_view name)
 {
     auto value = line.substr(name.size() + 1);
@@ -29,7 +29,7 @@
     return line.starts_with(name) && line.substr(name.size()).starts_with(':');
 }
 
-void take_field(open_event& open, std::string_view line)
+void parse_field(open_event& open, std::string_view line)
 {
     open.m_has_fields = true;
     std::uint64_t number = 0;
@@ -58,15 +58,15 @@
     state.m_has_ended = ended.m_has_end_marker && ended.m_data_lines == 1;
 }
 
-std::string_view unfinished_line(const event_splitter& state)
+std::string_view incomplete_line(const event_splitter& state)
 {
     return std::string_view(state.m_partial).substr(state.m_line_begin);
 }
 
-/// Takes the line that ends at `end`; gives whether what came before is whole.
-bool take_line(event_splitter& state, std::size_t end)
+/// Processes the line that ends at `end`; returns whether all bytes up to there are complete.
+bool process_line(event_splitter& state, std::size_t end)
 {
-    const auto line = unfinished_line(state).substr(0, end - state.m_line_begin);
+    const auto line = incomplete_line(state).substr(0, end - state.m_line_begin);
     const bool is_after_return = std::exchange(state.m_after_return, state.m_partial[end] == '\r');
     const bool is_rest_of_line_end =
         is_after_return && line.empty() && state.m_partial[end] == '\n';
@@ -79,7 +79,7 @@
         return true;
     }
     if (!is_comment(line)) {
-        take_field(state.m_open, line);
+        parse_field(state.m_open, line);
     }
     return false;
 }
@@ -88,26 +88,26 @@
 
 std::string split_events(event_splitter& state, std::string_view bytes)
 {
-    const auto taken = state.m_partial.size();
+    const auto previous_size = state.m_partial.size();
     state.m_partial += bytes;
-    std::size_t whole = 0;
-    for (auto end = state.m_partial.find_first_of(line_ends, taken); end != std::string::npos;
-         end = state.m_partial.find_first_of(line_ends, end + 1)) {
-        const bool is_whole = take_line(state, end);
-        // The LF of a CRLF goes with what it ends.
-        if (is_whole || (whole == end && state.m_partial[end] == '\n')) {
-            whole = end + 1;
+    std::size_t complete_size = 0;
+    for (auto end = state.m_partial.find_first_of(line_ends, previous_size);
+         end != std::string::npos; end = state.m_partial.find_first_of(line_ends, end + 1)) {
+        const bool is_complete = process_line(state, end);
+        // The LF of a CRLF belongs to the event that the CR completed.
+        if (is_complete || (complete_size == end && state.m_partial[end] == '\n')) {
+            complete_size = end + 1;
         }
     }
-    auto result = state.m_partial.substr(0, whole);
-    state.m_partial.erase(0, whole);
-    state.m_line_begin -= whole;
+    auto result = state.m_partial.substr(0, complete_size);
+    state.m_partial.erase(0, complete_size);
+    state.m_line_begin -= complete_size;
     return result;
 }
 
 bool is_inside_event(const event_splitter& state)
 {
-    const auto line = unfinished_line(state);
+    const auto line = incomplete_line(state);
     return state.m_open.m_has_fields || (!line.empty() && !is_comment(line));
 }
 
--- a/dewbeam/src/replies/reply_stream.cpp
+++ b/dewbeam/src/replies/reply_stream.cpp
@@ -16,60 +16,61 @@
 {
     state.m_closed = true;
     state.m_held.clear();
-    state.m_held_bytes = {};
+    state.m_out_of_order_size = {};
     state.m_owner.reset();
     out.m_error = error;
 }
 
-/// Whether everything delivered so far is still here.
-bool keeps_all(const reply_stream& state)
+/// Whether all bytes delivered so far are still stored.
+bool has_all_delivered(const reply_stream& state)
 {
-    return static_cast<std::int64_t>(state.m_kept.size()) == state.m_delivered.m_count;
+    return static_cast<std::int64_t>(state.m_delivered_bytes.size()) == state.m_delivered.m_count;
 }
 
-void keep(reply_stream& state, std::string_view bytes)
+void store_delivered(reply_stream& state, std::string_view bytes)
 {
     const auto limit = static_cast<std::size_t>(state.m_options.m_most_kept.m_count);
-    if (keeps_all(state) && state.m_kept.size() + bytes.size() <= limit) {
-        state.m_kept += bytes;
+    if (has_all_delivered(state) && state.m_delivered_bytes.size() + bytes.size() <= limit) {
+        state.m_delivered_bytes += bytes;
     }
     else {
-        state.m_kept.clear();
+        state.m_delivered_bytes.clear();
     }
 }
 
 void deliver(reply_stream& state, delivery& out, std::string_view bytes)
 {
-    keep(state, bytes);
+    store_delivered(state, bytes);
     state.m_delivered += {static_cast<std::int64_t>(bytes.size())};
     out.m_bytes += bytes;
 }
 
-/// Takes from `bytes` what the caller has already; false if it differs.
+/// Removes from `bytes` what the caller already has; returns false if it differs.
 bool compare_replay(reply_stream& state, std::string_view& bytes)
 {
-    const auto expected = std::string_view(state.m_kept).substr(state.m_compared);
+    const auto expected = std::string_view(state.m_delivered_bytes).substr(state.m_compared_size);
     const auto common = std::min(expected.size(), bytes.size());
     if (expected.substr(0, common) != bytes.substr(0, common)) {
         return false;
     }
-    state.m_compared += common;
+    state.m_compared_size += common;
     bytes.remove_prefix(common);
     return true;
 }
 
-bool replay_is_short(const reply_stream& state)
+bool is_replay_incomplete(const reply_stream& state)
 {
-    return state.m_replays && state.m_compared < state.m_kept.size();
+    return state.m_replays && state.m_compared_size < state.m_delivered_bytes.size();
 }
 
-/// The first chunk brings the head: the caller gets it once, and a later attempt's must agree.
-bool take_head(reply_stream& state, reply_chunk& chunk, delivery& out)
+/// The first chunk contains status and headers. The caller gets them once; the status of a later
+/// attempt must match.
+bool process_head(reply_stream& state, reply_chunk& chunk, delivery& out)
 {
-    if (state.m_begun) {
+    if (state.m_started) {
         return chunk.m_status == state.m_status;
     }
-    state.m_begun = true;
+    state.m_started = true;
     state.m_status = chunk.m_status;
     out.m_begins = true;
     out.m_status = chunk.m_status;
@@ -77,16 +78,16 @@
     return true;
 }
 
-void take_end(reply_stream& state, const reply_chunk& chunk, delivery& out)
+void process_end(reply_stream& state, const reply_chunk& chunk, delivery& out)
 {
     out.m_outcome = chunk.m_outcome;
     if (chunk.m_outcome != ledger::outcome::completed) {
-        // Another attempt may still go on from here.
+        // Another attempt may still continue from here.
         drop_attempt(state);
         out.m_error = reply_error::attempt_ended;
         return;
     }
-    if (replay_is_short(state)) {
+    if (is_replay_incomplete(state)) {
         close(state, out, reply_error::replay_differs);
         return;
     }
@@ -94,16 +95,17 @@
     out.m_finished = true;
 }
 
-/// An attempt that ended without running has no answer: its last chunk carries no head.
+/// Whether the chunk is part of the response. The last chunk of an attempt that didn't complete is
+/// not: its status and data are ignored.
 bool has_answer(const reply_chunk& chunk)
 {
     return !chunk.m_last || chunk.m_outcome == ledger::outcome::completed;
 }
 
-/// Takes the chunk that is next in order.
-void take(reply_stream& state, reply_chunk chunk, delivery& out)
+/// Processes the chunk that is next in order.
+void process_chunk(reply_stream& state, reply_chunk chunk, delivery& out)
 {
-    if (state.m_next == 0 && has_answer(chunk) && !take_head(state, chunk, out)) {
+    if (state.m_next == 0 && has_answer(chunk) && !process_head(state, chunk, out)) {
         close(state, out, reply_error::replay_differs);
         return;
     }
@@ -116,16 +118,17 @@
         close(state, out, reply_error::replay_differs);
         return;
     }
-    // What is left of a replay is new; its comparison is over.
-    state.m_replays = state.m_replays && replay_is_short(state);
+    // The bytes after the repeated part of a replay are new.
+    state.m_replays = state.m_replays && is_replay_incomplete(state);
     deliver(state, out, bytes);
     if (chunk.m_last) {
-        take_end(state, chunk, out);
+        process_end(state, chunk, out);
     }
 }
 
-/// Whether the chunk fits with what was met of the attempt's end.
-bool fits_end(reply_stream& state, const reply_chunk& chunk)
+/// Whether the chunk is consistent with the last chunk of the attempt, if that was received.
+/// Records the number of the last chunk.
+bool is_consistent_with_end(reply_stream& state, const reply_chunk& chunk)
 {
     const auto number = chunk.m_number.value();
     if (chunk.m_last) {
@@ -137,24 +140,24 @@
     return !state.m_last_number || number < *state.m_last_number;
 }
 
-void hold(reply_stream& state, reply_chunk chunk, delivery& out)
+void buffer_chunk(reply_stream& state, reply_chunk chunk, delivery& out)
 {
-    state.m_held_bytes += size_of(chunk);
+    state.m_out_of_order_size += size_of(chunk);
     const auto number = chunk.m_number.value();
     state.m_held.emplace(number, std::move(chunk));
-    if (state.m_held_bytes > state.m_options.m_most_held ||
+    if (state.m_out_of_order_size > state.m_options.m_most_held ||
         state.m_held.size() > state.m_options.m_most_chunks_held) {
         close(state, out, reply_error::too_much_held);
     }
 }
 
-void take_held(reply_stream& state, delivery& out)
+void process_buffered(reply_stream& state, delivery& out)
 {
     while (state.m_owner && !state.m_held.empty() && state.m_held.begin()->first == state.m_next) {
         auto chunk = std::move(state.m_held.begin()->second);
         state.m_held.erase(state.m_held.begin());
-        state.m_held_bytes -= size_of(chunk);
-        take(state, std::move(chunk), out);
+        state.m_out_of_order_size -= size_of(chunk);
+        process_chunk(state, std::move(chunk), out);
     }
 }
 
@@ -189,13 +192,13 @@
     }
     switch (how) {
         case continuation::none:
-            return !state.m_begun;
+            return !state.m_started;
         case continuation::resume:
             return true;
         case continuation::replay:
             break;
     }
-    return keeps_all(state);
+    return has_all_delivered(state);
 }
 
 void start_attempt(reply_stream& state, const attempt_id& owner, continuation how)
@@ -203,8 +206,8 @@
     require(can_continue(state, how), "an answer goes on only where can_continue allows it");
     drop_attempt(state);
     state.m_owner = owner;
-    state.m_replays = how == continuation::replay && !state.m_kept.empty();
-    state.m_compared = 0;
+    state.m_replays = how == continuation::replay && !state.m_delivered_bytes.empty();
+    state.m_compared_size = 0;
 }
 
 void drop_attempt(reply_stream& state)
@@ -213,7 +216,7 @@
     state.m_next = 0;
     state.m_last_number.reset();
     state.m_held.clear();
-    state.m_held_bytes = {};
+    state.m_out_of_order_size = {};
 }
 
 void reopen(reply_stream& state)
@@ -230,16 +233,16 @@
         is_known(state, chunk.m_number.value())) {
         return out;
     }
-    if (!fits_end(state, chunk)) {
+    if (!is_consistent_with_end(state, chunk)) {
         close(state, out, reply_error::malformed);
         return out;
     }
     if (chunk.m_number.value() == state.m_next) {
-        take(state, std::move(chunk), out);
-        take_held(state, out);
+        process_chunk(state, std::move(chunk), out);
+        process_buffered(state, out);
     }
     else {
-        hold(state, std::move(chunk), out);
+        buffer_chunk(state, std::move(chunk), out);
     }
     return out;
 }
--- a/dewbeam/src/replies/reply_stream.h
+++ b/dewbeam/src/replies/reply_stream.h
@@ -1,14 +1,15 @@
 /// \file
-/// Puts one caller's answer together: in order, once, and only from the attempt that owns the
-/// request. A stream that broke off never looks finished.
+/// Assembles the response to one caller: in order, without duplicates, and only from the attempt
+/// that owns the request. A truncated stream is never reported as finished.
 ///
-/// Where an idempotent streamed request goes on under a new attempt, either the engine resumes at
-/// the byte that was delivered last, or it begins anew; then what the caller has already is
-/// skipped, and any byte that differs ends the stream with an error.
+/// When an idempotent streamed request continues under a new attempt, the engine either resumes
+/// after the last byte delivered or restarts its response. After a restart, the bytes that the
+/// caller already has are compared and skipped; any byte that differs ends the stream with an
+/// error.
 ///
 /// \code
 /// start_attempt(stream, id, continuation::none);
-/// auto out = accept(stream, chunk);      // bytes for the caller, perhaps the end
+/// auto out = accept(stream, chunk);      // bytes for the caller, possibly the end
 /// if (link_lost && can_continue(stream, continuation::replay)) {
 ///     start_attempt(stream, next_id, continuation::replay);
 /// }
@@ -26,16 +27,16 @@
 
 namespace dewbeam::replies {
 
-/// Place of a chunk in its attempt's answer, from 0.
+/// Position of a chunk in the response of its attempt, from 0.
 using chunk_number = strong<struct chunk_tag, std::uint64_t>;
 
-/// A header field of the answer.
+/// A header field of the response.
 struct reply_header {
     std::string m_name;
     std::string m_value;
 };
 
-/// A piece of an attempt's answer.
+/// A chunk of the response of an attempt.
 struct reply_chunk {
     attempt_id m_attempt;
     chunk_number m_number;
@@ -46,73 +47,76 @@
     ledger::outcome m_outcome = ledger::outcome::unknown;  ///< in the last chunk
 };
 
-/// How an attempt's answer goes with what the caller has already.
+/// How the response of a new attempt relates to the bytes that the caller already has.
 enum class continuation {
-    none,    ///< nothing was delivered; the answer is taken from its start
-    resume,  ///< the engine goes on at the byte after the last one delivered
-    replay,  ///< the engine begins anew; what was delivered must come again, byte by byte
+    none,    ///< nothing was delivered yet; the response is used from its start
+    resume,  ///< the engine continues with the byte after the last one delivered
+    replay,  ///< the engine restarts; the delivered bytes must be repeated exactly
 };
 
-/// Why a stream can't go on.
+/// Why a stream can't continue.
 enum class reply_error {
     none,
-    too_much_held,   ///< more came out of order than the limit
-    replay_differs,  ///< the new attempt answered otherwise than the caller has read
+    too_much_held,   ///< the limits for chunks received out of order were exceeded
+    replay_differs,  ///< the new attempt's response differs from the bytes already delivered
     malformed,       ///< contradictory chunks: two ends, or data after the end
-    attempt_ended,   ///< the attempt ended without completing; `m_outcome` tells how
+    attempt_ended,   ///< the attempt ended without completing; see `m_outcome`
 };
 
-/// Field term of an error for logs and error events.
+/// The name of an error in logs and error events.
 const char* to_string(reply_error value);
 
-/// What the entry must do after a chunk.
+/// What the entry must send to the caller after a chunk.
 struct delivery {
     bool m_begins = false;  ///< send the status and headers first
     std::uint32_t m_status = 0;
     std::vector<reply_header> m_headers;
     std::string m_bytes;      ///< for the caller
-    bool m_finished = false;  ///< the answer is whole
+    bool m_finished = false;  ///< the response is complete
     reply_error m_error = reply_error::none;
-    ledger::outcome m_outcome = ledger::outcome::unknown;  ///< of the attempt, when it ended
+    ledger::outcome m_outcome = ledger::outcome::unknown;  ///< of the attempt, once it has ended
 };
 
 /// Limits of a stream.
 struct reply_options {
-    byte_count m_most_held{1 << 20};  ///< out of order
+    byte_count m_most_held{1 << 20};  ///< received out of order
     std::size_t m_most_chunks_held = 1'024;
-    byte_count m_most_kept{1 << 20};  ///< of what was delivered, to compare with a replay
+    byte_count m_most_kept{1 << 20};  ///< delivered bytes stored for comparison with a replay
 };
 
-/// The state of one caller's answer.
+/// The state of the response to one caller.
 struct reply_stream {
     reply_options m_options;
-    std::optional<attempt_id> m_owner;  ///< chunks of any other attempt are dropped
+    std::optional<attempt_id> m_owner;  ///< chunks of any other attempt are ignored
     std::uint64_t m_next = 0;           ///< number of the next chunk in order
     std::map<std::uint64_t, reply_chunk> m_held;
-    byte_count m_held_bytes;
-    std::optional<std::uint64_t> m_last_number;  ///< known once the last chunk was met
-    bool m_begun = false;                        ///< status and headers were delivered
+    byte_count m_out_of_order_size;
+    std::optional<std::uint64_t> m_last_number;  ///< known once the last chunk was received
+    bool m_started = false;                      ///< status and headers were delivered
     std::uint32_t m_status = 0;
-    byte_count m_delivered;      ///< to the caller, over all attempts
-    std::string m_kept;          ///< the same bytes, as far as the limit goes
-    std::size_t m_compared = 0;  ///< of a replay: bytes that came again
+    byte_count m_delivered;           ///< to the caller, by all attempts
+    std::string m_delivered_bytes;    ///< the delivered bytes; empty once they exceeded the limit
+    std::size_t m_compared_size = 0;  ///< number of bytes that a replay has repeated so far
     bool m_replays = false;
     bool m_closed = false;  ///< finished, or ended by an error
 };
 
-/// Whether a new attempt may go on like this. After a finished answer or an error, none may.
+/// Whether a new attempt may continue in this way. After a finished response none may, nor after an
+/// error that closed the stream.
 bool can_continue(const reply_stream& state, continuation how);
 
-/// From now on the answer comes from `owner`; earlier attempts' chunks are dropped.
+/// Makes `owner` the source of the response; chunks of earlier attempts are ignored from now on.
 void start_attempt(reply_stream& state, const attempt_id& owner, continuation how);
 
-/// The attempt's end is unknown, or nothing more is wanted of it: its chunks are dropped.
+/// Ignores further chunks of the current attempt: its outcome is unknown or it is not needed any
+/// more.
 void drop_attempt(reply_stream& state);
 
-/// The answer that finished isn't whole: another attempt may go on behind what was delivered.
+/// Reopens a finished response that turned out incomplete, so that another attempt may continue
+/// after the delivered bytes.
 void reopen(reply_stream& state);
 
-/// Takes a chunk as it arrived.
+/// Processes a chunk in the order of arrival.
 delivery accept(reply_stream& state, reply_chunk chunk);
 
 }  // namespace dewbeam::replies
--- a/test/event_splitter_test.cpp
+++ b/test/event_splitter_test.cpp
@@ -10,13 +10,13 @@
 namespace dewbeam::replies {
 namespace {
 
-std::string take_in_pieces(event_splitter& state, std::string_view stream, std::size_t size)
+std::string split_in_pieces(event_splitter& state, std::string_view stream, std::size_t size)
 {
-    std::string whole;
+    std::string complete;
     for (std::size_t i = 0; i < stream.size(); i += size) {
-        whole += split_events(state, stream.substr(i, size));
+        complete += split_events(state, stream.substr(i, size));
     }
-    return whole;
+    return complete;
 }
 
 class line_ends : public testing::TestWithParam<std::string> {};
@@ -53,10 +53,10 @@
                              ": one" + end + end + ": two" + end}) {
         for (std::size_t size = 1; size <= event.size() + rest.size(); ++size) {
             event_splitter state;
-            auto given = take_in_pieces(state, event + rest, size);
+            auto returned = split_in_pieces(state, event + rest, size);
             EXPECT_FALSE(is_inside_event(state)) << rest;
             EXPECT_EQ(state.m_events, 1U);
-            EXPECT_EQ(given + state.m_partial, event + rest);
+            EXPECT_EQ(returned + state.m_partial, event + rest);
         }
     }
 }
@@ -99,8 +99,8 @@
     event_splitter at_once;
     const auto expected = split_events(at_once, stream);
     event_splitter in_pieces;
-    const auto given = take_in_pieces(in_pieces, stream, 1 + piece % 8U);
-    RC_ASSERT(given + in_pieces.m_partial == stream);
+    const auto returned = split_in_pieces(in_pieces, stream, 1 + piece % 8U);
+    RC_ASSERT(returned + in_pieces.m_partial == stream);
     RC_ASSERT(expected + at_once.m_partial == stream);
     RC_ASSERT(is_inside_event(in_pieces) == is_inside_event(at_once));
     RC_ASSERT(in_pieces.m_events == at_once.m_events);
--- a/test/replies_test.cpp
+++ b/test/replies_test.cpp
@@ -1,4 +1,4 @@
-// One caller's answer: whole, in order, once, and never another's.
+// The response to a caller is complete, in order, without duplicates, and never that of another.
 #include "dewbeam/replies"
 
 #include <gtest/gtest.h>
@@ -107,7 +107,7 @@
     EXPECT_TRUE(can_continue(stream, continuation::replay));
 }
 
-/// A request with its right answer, and what its caller has read.
+/// A request with its expected response, and what its caller has read.
 struct caller {
     std::string m_answer;
     reply_stream m_stream;
@@ -117,31 +117,32 @@
     int m_attempts = 0;
 };
 
-/// Two entries with two callers each, over a network that crosses, repeats, loses and delays.
-struct reply_world {
+/// Two entries with two callers each, and a network that misroutes, duplicates, loses and delays
+/// chunks.
+struct reply_simulation {
     random_engine m_random;
     std::vector<caller> m_callers{4};
     std::vector<reply_chunk> m_network;
     std::uint64_t m_attempts = 0;
     int m_cut = 0, m_lost = 0, m_copies = 0, m_late = 0, m_replays = 0, m_resumes = 0;
 
-    explicit reply_world(std::uint64_t seed) : m_random(seed)
+    explicit reply_simulation(std::uint64_t seed) : m_random(seed)
     {
         for (std::size_t i = 0; i < m_callers.size(); ++i) {
             m_callers[i].m_entry = incarnation(1 + i / 2);
             for (std::uint64_t n = 20 + uniform_below(m_random, 60); n > 0; --n) {
                 m_callers[i].m_answer += static_cast<char>('a' + uniform_below(m_random, 26));
             }
-            attempt_anew(m_callers[i], true);
+            start_new_attempt(m_callers[i], true);
         }
     }
 
     bool chance(std::uint64_t one_in) { return uniform_below(m_random, one_in) == 0; }
 
-    /// The agent's side: the answer in chunks, cut off somewhere unless it is `whole`.
-    void answer(const attempt_id& id, std::string text, bool whole)
+    /// The agent: sends the response in chunks, possibly truncated unless `complete` is set.
+    void answer(const attempt_id& id, std::string text, bool complete)
     {
-        const bool cut = !whole && chance(2);
+        const bool cut = !complete && chance(2);
         m_cut += cut;
         for (std::uint64_t number = 0; !text.empty(); ++number) {
             if (cut && chance(4)) {
@@ -150,7 +151,7 @@
             const auto size = std::min<std::size_t>(text.size(), 1 + uniform_below(m_random, 9));
             const bool last = size == text.size();
             const auto chunk = make_chunk(id, number, text.substr(0, size), last);
-            const bool lost = !whole && chance(20);
+            const bool lost = !complete && chance(20);
             const int copies = lost ? 0 : 1 + static_cast<int>(chance(5));
             m_lost += lost;
             m_copies += copies > 1;
@@ -159,12 +160,12 @@
         }
     }
 
-    void attempt_anew(caller& who, bool lossy)
+    void start_new_attempt(caller& who, bool lossy)
     {
         const bool replay = chance(2);
-        const auto how = !who.m_stream.m_begun ? continuation::none
-                         : replay              ? continuation::replay
-                                               : continuation::resume;
+        const auto how = !who.m_stream.m_started ? continuation::none
+                         : replay                ? continuation::replay
+                                                 : continuation::resume;
         const bool resumes = how == continuation::resume;
         m_replays += how == continuation::replay;
         m_resumes += resumes;
@@ -173,7 +174,7 @@
         answer(id, resumes ? who.m_answer.substr(who.m_read.size()) : who.m_answer, !lossy);
     }
 
-    /// A crossed wire: every caller's stream gets to see every chunk.
+    /// Delivers a chunk to the streams of all callers, as if it were misrouted.
     void deliver()
     {
         const auto place =
@@ -199,7 +200,7 @@
         for (int i = 0; i < 200; ++i) {
             auto& who = m_callers[uniform_below(m_random, m_callers.size())];
             if (chance(10) && !who.m_stream.m_closed && who.m_read.size() < who.m_answer.size()) {
-                attempt_anew(who, true);
+                start_new_attempt(who, true);
             }
             if (!m_network.empty()) {
                 deliver();
@@ -207,7 +208,7 @@
         }
         for (auto& who : m_callers) {
             if (who.m_ends == 0) {
-                attempt_anew(who, false);
+                start_new_attempt(who, false);
             }
         }
         while (!m_network.empty()) {
@@ -223,14 +224,14 @@
 {
     int cut = 0, lost = 0, copies = 0, late = 0, replays = 0, resumes = 0;
     EXPECT_TRUE(rc::check([&] {
-        reply_world world(*rc::gen::arbitrary<std::uint64_t>());
-        world.run();
-        cut += world.m_cut;
-        lost += world.m_lost;
-        copies += world.m_copies;
-        late += world.m_late;
-        replays += world.m_replays;
-        resumes += world.m_resumes;
+        reply_simulation simulation(*rc::gen::arbitrary<std::uint64_t>());
+        simulation.run();
+        cut += simulation.m_cut;
+        lost += simulation.m_lost;
+        copies += simulation.m_copies;
+        late += simulation.m_late;
+        replays += simulation.m_replays;
+        resumes += simulation.m_resumes;
     }));
     std::printf("cut=%d lost=%d copies=%d late_or_repeated=%d replays=%d resumes=%d\n", cut, lost,
                 copies, late, replays, resumes);
