--- a/dewbeam/src/ranks/count_message.cpp
+++ b/dewbeam/src/ranks/count_message.cpp
@@ -7,33 +7,35 @@
 
 namespace {
 
-/// Which experts are in demand changes within seconds.
+/// Expert demand changes within seconds, so reports must come several times a second.
 constexpr time_span shortest_counts_interval = std::chrono::milliseconds(120);
-/// Counts in eight bits may come this seldom.
+/// Longest report interval at which counts are still sent with eight bits each; above it they are
+/// sent with four bits.
 constexpr time_span longest_fine_interval = std::chrono::milliseconds(250);
-/// Part of the coordinating host's link that counts may fill: counts that fill it hold up all
-/// other messages, and no map is changed any more.
+/// Counts may use one part in this many of the coordinator's link. If counts fill the link, all
+/// other messages are delayed and map changes no longer complete.
 constexpr std::int64_t link_parts = 2;
-/// Beside the counts: what the ranks hold, and numbers.
+/// Allowance per message for everything other than the counts: held experts and numeric fields.
 constexpr std::int64_t other_bytes = 500;
 
-time_span interval_with(std::size_t tellers, std::size_t counts, std::uint32_t bits,
+time_span interval_with(std::size_t reporters, std::size_t counts, std::uint32_t bits,
                         byte_count link_rate)
 {
     constexpr std::int64_t bits_of_byte = 8;
     const auto bytes = static_cast<std::int64_t>(counts * bits) / bits_of_byte + other_bytes;
     const auto rate = std::max<std::int64_t>(1, link_rate.m_count / link_parts);
-    return std::chrono::microseconds(static_cast<std::int64_t>(tellers) * bytes * 1'000'000 / rate);
+    return std::chrono::microseconds(static_cast<std::int64_t>(reporters) * bytes * 1'000'000 /
+                                     rate);
 }
 
-std::vector<std::vector<std::uint32_t>> read_held(const wire::RankState& told)
+std::vector<std::vector<std::uint32_t>> read_held(const wire::RankState& reported)
 {
     std::vector<std::vector<std::uint32_t>> result;
     int first = 0;
-    for (const auto size : told.held_in_layer()) {
+    for (const auto size : reported.held_in_layer()) {
         std::vector<std::uint32_t> layer;
-        for (std::uint32_t i = 0; i < size && first < told.held_size(); ++i) {
-            layer.push_back(told.held(first++));
+        for (std::uint32_t i = 0; i < size && first < reported.held_size(); ++i) {
+            layer.push_back(reported.held(first++));
         }
         result.push_back(std::move(layer));
     }
@@ -42,18 +44,18 @@
 
 }  // namespace
 
-count_pace pace_of(std::size_t tellers, std::size_t counts, byte_count link_rate)
+report_parameters pace_of(std::size_t reporters, std::size_t counts, byte_count link_rate)
 {
-    constexpr std::uint32_t many = 8;
-    constexpr std::uint32_t few = 4;
-    const auto fine = interval_with(tellers, counts, many, link_rate);
-    const auto bits = fine <= longest_fine_interval ? many : few;
+    constexpr std::uint32_t fine_bits = 8;
+    constexpr std::uint32_t coarse_bits = 4;
+    const auto fine = interval_with(reporters, counts, fine_bits, link_rate);
+    const auto bits = fine <= longest_fine_interval ? fine_bits : coarse_bits;
     return {bits,
-            std::max(shortest_counts_interval, interval_with(tellers, counts, bits, link_rate))};
+            std::max(shortest_counts_interval, interval_with(reporters, counts, bits, link_rate))};
 }
 
-wire::RankCounts sign_of_life(rank_id rank, const rank_counts& counted, const rank_holding& holding,
-                              double pace)
+wire::RankCounts liveness_report(rank_id rank, const rank_counts& counted,
+                                 const rank_holding& holding, double slowdown)
 {
     wire::RankCounts result;
     result.set_formation(counted.m_formation);
@@ -61,23 +63,23 @@
     state.set_rank(rank.value());
     state.set_step(counted.m_step);
     state.set_map(holding.m_map);
-    state.set_pace(pace);
+    state.set_pace(slowdown);
     return result;
 }
 
 wire::RankCounts to_wire(rank_id rank, const rank_counts& counted, const rank_holding& holding,
-                         double pace, std::uint32_t bits, told_counts& told)
+                         double slowdown, std::uint32_t bits, told_counts& reported)
 {
     const auto& counts = counted.m_counts;
     wire::RankCounts result;
     result.set_formation(counted.m_formation);
-    result.set_steps(steps_since(told, counted.m_formation, counted.m_step, counts));
-    set_packed(result, pack_counts(told, counts, bits), counts.size());
+    result.set_steps(steps_since(reported, counted.m_formation, counted.m_step, counts));
+    set_packed(result, pack_counts(reported, counts, bits), counts.size());
     auto& state = *result.add_ranks();
     state.set_rank(rank.value());
     state.set_step(counted.m_step);
     state.set_map(holding.m_map);
-    state.set_pace(pace);
+    state.set_pace(slowdown);
     for (const auto& layer : holding.m_held) {
         state.add_held_in_layer(static_cast<std::uint32_t>(layer.size()));
         state.mutable_held()->Add(layer.begin(), layer.end());
@@ -106,14 +108,14 @@
     if (!add_counts(result.m_counts, packed_of(message), message.experts())) {
         result.m_counts.clear();
     }
-    for (const auto& told : message.ranks()) {
+    for (const auto& reported : message.ranks()) {
         experts::rank_state state;
-        state.m_step = told.step();
-        state.m_map = told.map();
-        state.m_held = read_held(told);
-        state.m_pace = told.pace();
+        state.m_step = reported.step();
+        state.m_map = reported.map();
+        state.m_held = read_held(reported);
+        state.m_pace = reported.pace();
         state.m_at = now;
-        result.m_ranks.emplace_back(told.rank(), std::move(state));
+        result.m_ranks.emplace_back(reported.rank(), std::move(state));
     }
     return result;
 }
--- a/dewbeam/src/ranks/count_message.h
+++ b/dewbeam/src/ranks/count_message.h
@@ -1,5 +1,5 @@
 /// \file
-/// The message in which ranks tell the coordinating one what they counted and hold.
+/// The message in which ranks report their expert counts and held experts to the coordinator.
 #pragma once
 
 #include "dewbeam.pb.h"
@@ -9,34 +9,35 @@
 
 namespace dewbeam::ranks {
 
-/// How counts are told in a group.
-struct count_pace {
-    std::uint32_t m_bits = 8;  ///< of each count: eight, or four where they would come too seldom
+/// How the ranks of a group report their counts.
+struct report_parameters {
+    std::uint32_t m_bits = 8;  ///< per count: 8, or 4 if reports would be too infrequent
     time_span m_interval{};
 };
 
-/// What the link of the coordinating host bears beside the group's other messages.
-/// \param tellers ranks or relays that tell the coordinating rank
-/// \param counts numbers that each of them tells
-/// \param link_rate bytes a second of a rank's host
-count_pace pace_of(std::size_t tellers, std::size_t counts, byte_count link_rate);
+/// Count width and report interval that leave room on the coordinator's link for the group's other
+/// messages.
+/// \param reporters ranks or relays that send their counts to the coordinator
+/// \param counts number of counts in each of their messages
+/// \param link_rate bandwidth of a rank's host in bytes per second
+report_parameters pace_of(std::size_t reporters, std::size_t counts, byte_count link_rate);
 
-/// What a rank tells. `pace`: of the rank; above 1 it is slow.
+/// The report of a rank. `slowdown` is the rank's; a rank above 1 is slow.
 wire::RankCounts to_wire(rank_id rank, const rank_counts& counted, const rank_holding& holding,
-                         double pace, std::uint32_t bits, told_counts& told);
+                         double slowdown, std::uint32_t bits, told_counts& reported);
 
-/// What a rank tells while no coordinator is heard: that it is alive, and how far it is. There are
-/// no relays then, and the counts of all ranks of a large group would overload the links of the
-/// hosts that may coordinate. They are told once one does.
-wire::RankCounts sign_of_life(rank_id rank, const rank_counts& counted, const rank_holding& holding,
-                              double pace);
+/// The report of a rank that has no contact with a coordinator: only that it is alive, and its
+/// current step. No relays are in use then, and the counts of all ranks of a large group would
+/// overload the links of the hosts that may coordinate. Counts are sent once one of them does.
+wire::RankCounts liveness_report(rank_id rank, const rank_counts& counted,
+                                 const rank_holding& holding, double slowdown);
 
-/// The counts in a message and back.
+/// Reads the counts of a message, and writes them into one.
 packed_counts packed_of(const wire::RankCounts& message);
 void set_packed(wire::RankCounts& message, packed_counts packed, std::size_t counts);
 
-/// The sample that a message holds; without counts, so that it fits no group, where they can't be
-/// read.
+/// The sample in a message. If the counts can't be read, the sample has none and therefore matches
+/// no group's size.
 experts::count_sample from_wire(const wire::RankCounts& message, time_point now);
 
 }  // namespace dewbeam::ranks
--- a/dewbeam/src/ranks/count_relay.cpp
+++ b/dewbeam/src/ranks/count_relay.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// All ranks tell at the coordinator's heartbeat: whoever comes later than this is late.
+/// All ranks report at the coordinator's heartbeat. A sum is sent without the ranks whose reports
+/// take longer than this.
 constexpr time_span longest_gathering = std::chrono::milliseconds(80);
 
 }  // namespace
@@ -16,25 +17,25 @@
 bool add(count_relay& state, rank_id to, const wire::RankCounts& counts, time_point now)
 {
     if (counts.formation() < state.m_formation && to == state.m_to) {
-        return true;  // told before the group formed anew
+        return true;  // sent before the group formed again
     }
-    std::vector<std::uint64_t> told;
-    if (!add_counts(told, packed_of(counts), counts.experts())) {
+    std::vector<std::uint64_t> reported;
+    if (!add_counts(reported, packed_of(counts), counts.experts())) {
         return false;
     }
-    const bool begins = to != state.m_to || counts.formation() != state.m_formation ||
+    const bool starts = to != state.m_to || counts.formation() != state.m_formation ||
                         counts.experts() != state.m_totals.size();
-    if (begins) {
+    if (starts) {
         state = {};
         state.m_to = to;
         state.m_formation = counts.formation();
-        state.m_totals.assign(told.size(), 0);
-        state.m_told.m_told = state.m_totals;
+        state.m_totals.assign(reported.size(), 0);
+        state.m_reported.m_reported = state.m_totals;
     }
-    for (std::size_t i = 0; i < told.size(); ++i) {
-        state.m_totals[i] += told[i];
+    for (std::size_t i = 0; i < reported.size(); ++i) {
+        state.m_totals[i] += reported[i];
     }
-    state.m_began_at = state.m_ranks.empty() ? now : state.m_began_at;
+    state.m_started_at = state.m_ranks.empty() ? now : state.m_started_at;
     state.m_steps += counts.steps();
     for (const auto& rank : counts.ranks()) {
         state.m_ranks[rank.rank()] = rank;
@@ -45,7 +46,7 @@
 bool is_due(const count_relay& state, std::size_t expected, time_point now)
 {
     return !state.m_ranks.empty() &&
-           (state.m_ranks.size() >= expected || now >= state.m_began_at + longest_gathering);
+           (state.m_ranks.size() >= expected || now >= state.m_started_at + longest_gathering);
 }
 
 std::optional<wire::RankCounts> take_sum(count_relay& state, std::uint32_t bits)
@@ -55,10 +56,10 @@
     }
     wire::RankCounts result;
     result.set_formation(state.m_formation);
-    set_packed(result, pack_counts(state.m_told, state.m_totals, bits), state.m_totals.size());
+    set_packed(result, pack_counts(state.m_reported, state.m_totals, bits), state.m_totals.size());
     result.set_steps(std::exchange(state.m_steps, 0));
-    for (auto& [rank, told] : std::exchange(state.m_ranks, {})) {
-        *result.add_ranks() = told;
+    for (auto& [rank, reported] : std::exchange(state.m_ranks, {})) {
+        *result.add_ranks() = reported;
     }
     return result;
 }
--- a/dewbeam/src/ranks/count_wire.cpp
+++ b/dewbeam/src/ranks/count_wire.cpp
@@ -10,18 +10,19 @@
 constexpr std::uint32_t bits_of_byte = 8;
 constexpr std::uint32_t bits_of_count = 64;
 
-bool goes_on(const std::vector<std::uint64_t>& told, const std::vector<std::uint64_t>& counts)
+bool is_continuation(const std::vector<std::uint64_t>& reported,
+                     const std::vector<std::uint64_t>& counts)
 {
-    return told.size() == counts.size() &&
-           std::equal(told.begin(), told.end(), counts.begin(), std::less_equal<>());
+    return reported.size() == counts.size() &&
+           std::equal(reported.begin(), reported.end(), counts.begin(), std::less_equal<>());
 }
 
-std::uint32_t bits_to_drop(const std::vector<std::uint64_t>& told,
+std::uint32_t bits_to_drop(const std::vector<std::uint64_t>& reported,
                            const std::vector<std::uint64_t>& counts, std::uint64_t largest)
 {
     std::uint64_t most = 0;
     for (std::size_t i = 0; i < counts.size(); ++i) {
-        most = std::max(most, counts[i] - told[i]);
+        most = std::max(most, counts[i] - reported[i]);
     }
     std::uint32_t result = 0;
     while ((most >> result) > largest) {
@@ -32,54 +33,57 @@
 
 }  // namespace
 
-std::uint64_t steps_since(told_counts& told, std::uint64_t formation, std::uint64_t step,
+std::uint64_t steps_since(told_counts& reported, std::uint64_t formation, std::uint64_t step,
                           const std::vector<std::uint64_t>& counts)
 {
-    const bool is_later = told.m_formation == formation && step > told.m_step;
-    const auto result =
-        is_later && goes_on(told.m_told, counts) ? step - told.m_step : std::uint64_t{0};
-    told.m_formation = formation;
-    told.m_step = step;
+    const bool is_later = reported.m_formation == formation && step > reported.m_step;
+    const auto result = is_later && is_continuation(reported.m_reported, counts)
+                            ? step - reported.m_step
+                            : std::uint64_t{0};
+    reported.m_formation = formation;
+    reported.m_step = step;
     return result;
 }
 
-packed_counts pack_counts(told_counts& told, const std::vector<std::uint64_t>& counts,
+packed_counts pack_counts(told_counts& reported, const std::vector<std::uint64_t>& counts,
                           std::uint32_t bits)
 {
-    if (!goes_on(told.m_told, counts)) {
-        told.m_told = counts;
+    if (!is_continuation(reported.m_reported, counts)) {
+        reported.m_reported = counts;
     }
     packed_counts result;
     result.m_bits = bits;
     const std::uint64_t largest = (1ULL << bits) - 1;
-    result.m_dropped_bits = bits_to_drop(told.m_told, counts, largest);
-    const auto in_byte = bits_of_byte / bits;
-    result.m_bytes.assign((counts.size() + in_byte - 1) / in_byte, '\0');
+    result.m_dropped_bits = bits_to_drop(reported.m_reported, counts, largest);
+    const auto counts_per_byte = bits_of_byte / bits;
+    result.m_bytes.assign((counts.size() + counts_per_byte - 1) / counts_per_byte, '\0');
     for (std::size_t i = 0; i < counts.size(); ++i) {
-        const auto value = (counts[i] - told.m_told[i]) >> result.m_dropped_bits;
-        told.m_told[i] += value << result.m_dropped_bits;
-        auto& byte = result.m_bytes[i / in_byte];
-        byte =
-            static_cast<char>(static_cast<unsigned char>(byte) | (value << (bits * (i % in_byte))));
+        const auto value = (counts[i] - reported.m_reported[i]) >> result.m_dropped_bits;
+        reported.m_reported[i] += value << result.m_dropped_bits;
+        auto& byte = result.m_bytes[i / counts_per_byte];
+        byte = static_cast<char>(static_cast<unsigned char>(byte) |
+                                 (value << (bits * (i % counts_per_byte))));
     }
     return result;
 }
 
-bool add_counts(std::vector<std::uint64_t>& totals, const packed_counts& told, std::size_t counts)
+bool add_counts(std::vector<std::uint64_t>& totals, const packed_counts& reported,
+                std::size_t counts)
 {
-    const bool is_known = told.m_bits == 4 || told.m_bits == 8;
-    if (!is_known || told.m_dropped_bits >= bits_of_count) {
+    const bool is_known = reported.m_bits == 4 || reported.m_bits == 8;
+    if (!is_known || reported.m_dropped_bits >= bits_of_count) {
         return false;
     }
-    const auto in_byte = bits_of_byte / told.m_bits;
-    if (told.m_bytes.size() != (counts + in_byte - 1) / in_byte) {
+    const auto counts_per_byte = bits_of_byte / reported.m_bits;
+    if (reported.m_bytes.size() != (counts + counts_per_byte - 1) / counts_per_byte) {
         return false;
     }
     totals.resize(counts, 0);
-    const std::uint64_t mask = (1ULL << told.m_bits) - 1;
+    const std::uint64_t mask = (1ULL << reported.m_bits) - 1;
     for (std::size_t i = 0; i < counts; ++i) {
-        const auto byte = static_cast<unsigned char>(told.m_bytes[i / in_byte]);
-        totals[i] += ((byte >> (told.m_bits * (i % in_byte))) & mask) << told.m_dropped_bits;
+        const auto byte = static_cast<unsigned char>(reported.m_bytes[i / counts_per_byte]);
+        totals[i] += ((byte >> (reported.m_bits * (i % counts_per_byte))) & mask)
+                     << reported.m_dropped_bits;
     }
     return true;
 }
--- a/dewbeam/src/ranks/group_layout.h
+++ b/dewbeam/src/ranks/group_layout.h
@@ -1,5 +1,5 @@
 /// \file
-/// The ranks of a group and where one stands in it, worked out from what the upstreams announce.
+/// The ranks of a group and one rank's place among them, derived from upstream announcements.
 #pragma once
 
 #include <map>
@@ -22,9 +22,9 @@
     friend bool operator==(const group_layout&, const group_layout&) = default;
 };
 
-/// The layout for the rank that `report` comes from; none before the addresses of all ranks are
-/// known. Each rank's agent listens at `link_port` of its engine's host. Where two upstreams
-/// announced the same rank, the one of the later formation counts.
+/// The layout for the rank that sent `report`; none until the addresses of all ranks are known.
+/// Each rank's agent listens at `link_port` on its engine's host. If two upstreams announced the
+/// same rank, the one of the later formation is used.
 std::optional<group_layout> find_layout(
     const rank_report& report, const std::map<upstream_id, registry::announcement>& announced,
     std::uint16_t link_port);
--- a/dewbeam/src/ranks/group_timing.cpp
+++ b/dewbeam/src/ranks/group_timing.cpp
@@ -6,33 +6,36 @@
 
 namespace {
 
-/// How long fetching the experts of one plan may take, at most.
+/// Time limit for fetching the experts of one plan.
 constexpr time_span stage_limit = std::chrono::seconds(5);
 constexpr time_span arm_limit = std::chrono::seconds(1);
 constexpr time_span stage_poll = std::chrono::milliseconds(20);
-/// For all copies of an order, six of them 25 ms apart: a group that holds must not wait for long.
+/// For all copies of an order, six of them 25 ms apart. It is short because the whole group waits
+/// while it holds at a step.
 constexpr time_span answer_limit = std::chrono::milliseconds(150);
-/// Without fencing numbers an unanswered order may still be carried out for so long.
+/// Without fencing numbers, an unanswered order may still be carried out for this long.
 constexpr time_span order_lifetime = std::chrono::seconds(15);
 constexpr std::chrono::milliseconds resend_interval{150};
-/// The second copy of a map is whole: sent again while most ranks still fetch, it would fill the
-/// link of the coordinating host.
+/// Per rank. The second copy of a map is complete instead of a difference: resent while most ranks
+/// are still fetching, it would fill the coordinator's link.
 constexpr std::chrono::milliseconds stage_resend_of_rank{10};
-/// The same for each relay of a group with relays, which passes the copy on to its block.
+/// The same per relay of a group with relays. A relay forwards the copy to its block.
 constexpr std::chrono::milliseconds stage_resend_of_relay{40};
-/// A coordinator that stands still while the group holds stops every stream, and callers leave
-/// after two seconds: the next rank steps in after the second span, the one after it after twice
-/// that.
+/// A coordinator that stalls while the group holds stops every stream, and callers disconnect after
+/// two seconds. The next rank therefore takes over after `silence_limit` without a heartbeat, the
+/// one after it after twice as long.
 constexpr time_span heartbeat_interval = std::chrono::milliseconds(200);
-/// The same in a group with relays: each round takes longer there, and counts are told with it.
+/// The same in a group with relays, where each round takes longer and counts are reported at each
+/// heartbeat.
 constexpr time_span relayed_heartbeat_interval = std::chrono::milliseconds(100);
 constexpr time_span silence_limit = std::chrono::milliseconds(500);
-/// Several times what an agent on a busy host takes for its answer.
+/// Several times the response time of an agent on a busy host.
 constexpr time_span patience = std::chrono::milliseconds(300);
-/// Steps from the newest known to the switch, at most; short steps need the most of them.
+/// Maximum number of steps from the newest known one to the switch; the shorter the steps, the more
+/// of them are needed.
 constexpr std::uint64_t first_margin = 3;
-/// Arming and committing in a group with nothing lost; what they take otherwise the coordinator
-/// learns.
+/// Duration of arming and committing in a group without message loss; the coordinator learns longer
+/// durations at run time.
 constexpr time_span switch_time = std::chrono::milliseconds(70);
 
 }  // namespace
--- a/dewbeam/src/ranks/group_timing.h
+++ b/dewbeam/src/ranks/group_timing.h
@@ -1,15 +1,15 @@
 /// \file
-/// How fast the agents of a lock-step group act on each other and on their engines.
+/// Intervals and timeouts of the agents of a lock-step group.
 #pragma once
 
 #include "dewbeam/src/group/group_runner.h"
 
 namespace dewbeam::ranks {
 
-/// How often a rank agent acts by itself.
+/// Interval of a rank agent's periodic work.
 inline constexpr time_span tick_interval = std::chrono::milliseconds(20);
 
-/// Sets all spans of a rank agent's part in its group, from its rank and the group's size.
+/// Sets all intervals and timeouts of a rank agent from its rank and the group's size.
 void set_timing(group::group_options& options);
 
 }  // namespace dewbeam::ranks
--- a/dewbeam/src/ranks/rank_balancer.cpp
+++ b/dewbeam/src/ranks/rank_balancer.cpp
@@ -7,32 +7,32 @@
 
 namespace {
 
-/// Which experts are in demand may change within seconds; what was counted a second ago is old.
+/// Expert demand may change within seconds; counts that are a second old are out of date.
 constexpr std::chrono::milliseconds plan_interval{100};
 constexpr std::chrono::milliseconds fast_average{200};
 constexpr std::chrono::milliseconds slow_average{1500};
 constexpr std::chrono::milliseconds forecast_ahead{300};
 constexpr std::chrono::milliseconds scoring_span{600};
-/// Between two samples lie one or two steps of 75 ms: one such span says little of their time.
+/// Samples are one or two steps of 75 ms apart, which is too short to measure the step time.
 constexpr std::chrono::milliseconds shortest_measurement{250};
-/// Two samples of one demand differ by much less in a large group.
+/// In a large group, two samples of the same demand differ by much less than this.
 constexpr double jump = 0.1;
-/// The switch itself costs no more than the round trips that a rank waits for at the step.
+/// The switch itself costs only the round trips that a rank waits for at the step.
 constexpr std::chrono::milliseconds switch_pause{5};
-/// Share of a step that the experts take, where the engine's timing isn't published.
-constexpr double usual_expert_share = 0.7;
-/// While a rank fetches, its steps take about this much longer.
+/// Share of the step time spent in the experts, for engines that don't publish their timing.
+constexpr double default_expert_share = 0.7;
+/// While a rank fetches experts, its steps take longer by about this fraction.
 constexpr double fetch_slowdown = 0.15;
-/// Experts of a layer that a rank fetches for one plan. Fetching is what a change waits for: a map
-/// that follows demand in more and smaller changes is even sooner.
+/// Maximum number of experts of a layer that a rank fetches for one plan. Fetching dominates the
+/// time of a change, so a map is balanced sooner by more and smaller changes.
 constexpr std::uint32_t most_new_in_one_plan = 1;
-/// The ranks tell of a new map at their next poll after its first step; until then what they tell
-/// is older than what this rank knows.
+/// The ranks report a new map at their next poll after its first step; until then their reports are
+/// older than what this rank knows.
 constexpr std::chrono::seconds longest_new_map_wait{3};
-/// A group without counts to plan by for so long says so, and again each time it has passed.
-constexpr std::chrono::seconds unsteered_log_interval{2};
+/// Without usable counts for this long, a warning is logged; it is repeated at this interval.
+constexpr std::chrono::seconds missing_counts_log_interval{2};
 constexpr std::size_t most_logged_ranks = 8;
-/// A rank that planned nothing for longer doesn't coordinate.
+/// A rank that was not allowed to plan for longer than this has not been the coordinator.
 constexpr std::chrono::seconds longest_change{5};
 
 std::string to_text(const std::vector<rank_id>& ranks)
@@ -60,7 +60,7 @@
 {
     experts::planner_options options;
     options.m_move.m_expert_size = facts.m_expert_size;
-    // All ranks fetch at once, and steps go on meanwhile, only slower.
+    // All ranks fetch at the same time. Steps continue meanwhile, but more slowly.
     const double rate = static_cast<double>(facts.m_fetch_rate.m_count) * ranks / fetch_slowdown;
     options.m_move.m_store_rate = {static_cast<std::int64_t>(rate)};
     options.m_move.m_switch_pause = switch_pause;
@@ -92,20 +92,20 @@
     }
 }
 
-/// Takes the map that all ranks tell of, but for one that this rank put in force itself: waiting
-/// until all had told of it again would leave no time for the next change. A group that forms anew
-/// forgets that map: what its ranks tell then counts at once.
+/// Adopts the map that all ranks report. After this rank has put a map in force itself, reports are
+/// not waited for: waiting until all ranks report the new map would leave no time for the next
+/// change. A group that forms again drops that map, and its ranks' reports are used at once.
 /// \returns whether the planner has the map in force
 bool rank_balancer::follow_map(time_point now)
 {
-    if (m_planner && now < m_told_by && m_book.m_formation == m_changed_formation) {
+    if (m_planner && now < m_map_report_deadline && m_book.m_formation == m_changed_formation) {
         return true;
     }
     const auto number = experts::map_number(m_book);
     if (!number) {
         return false;
     }
-    if (m_planner && m_planned_on == number) {
+    if (m_planner && m_planner_map_number == number) {
         return true;
     }
     auto map = experts::map_in_force(m_book);
@@ -117,11 +117,11 @@
     }
     m_planner->m_map = *std::move(map);
     log_event(log_level::info, "expert_map_followed", {{"map", *number}});
-    m_planned_on = number;
+    m_planner_map_number = number;
     return true;
 }
 
-/// Takes in what was counted, also while a change is under way: demand has nothing to do with the
+/// Processes new counts, also while a change is in progress, because demand doesn't depend on the
 /// map.
 void rank_balancer::observe(time_point now)
 {
@@ -132,20 +132,20 @@
     }
     auto& planner = *m_planner;
     if (seen->m_tokens_per_step.front().size() != planner.m_map.m_shape.m_experts) {
-        return;  // the group has formed anew, and its map is not known yet
+        return;  // the group has formed again, and its map is not known yet
     }
     experts::observe(planner, *seen, now);
     m_has_news = true;
-    const bool knows_map = seen->m_is_of_one_map && m_planned_on == m_book.m_observed_map;
+    const bool knows_map = seen->m_is_of_one_map && m_planner_map_number == m_book.m_observed_map;
     if (knows_map && planner.m_forecast.m_jumps == 0) {
         measure_steps(*seen);
     }
     else {
-        m_measured = {};  // which load made those steps so long is not known
+        m_measured = {};  // the load that those steps ran with is not known
     }
 }
 
-/// Learns what a step's work is from a few steps of one map and one demand.
+/// Estimates the work of a step from a few steps with the same map and the same demand.
 void rank_balancer::measure_steps(const experts::observation& seen)
 {
     m_measured.m_steps += seen.m_steps;
@@ -163,20 +163,20 @@
     m_step_seconds = to_seconds(measured.m_span) / std::max(1.0, measured.m_steps);
     m_work = experts::tolerate(planner, m_facts.m_timing, tight_skews, measured);
     planner.m_options.m_step.m_microseconds_per_token =
-        usual_expert_share * m_step_seconds * 1e6 / std::max(1.0, load.m_slowest);
+        default_expert_share * m_step_seconds * 1e6 / std::max(1.0, load.m_slowest);
 }
 
-/// A group whose counts don't come keeps its map, whatever is in demand.
-void rank_balancer::watch_steering(time_point now)
+/// Logs a warning if no counts arrive: the group then keeps its map, whatever the demand.
+void rank_balancer::log_missing_counts(time_point now)
 {
-    if (now > m_may_plan_at + longest_change) {
-        m_observed_at = now;  // another rank planned until now
+    if (now > m_last_may_plan_at + longest_change) {
+        m_observed_at = now;  // another rank was planning until now
     }
-    m_may_plan_at = now;
-    if (now < m_observed_at + unsteered_log_interval || now < m_log_unsteered_at) {
+    m_last_may_plan_at = now;
+    if (now < m_observed_at + missing_counts_log_interval || now < m_next_missing_counts_log) {
         return;
     }
-    m_log_unsteered_at = now + unsteered_log_interval;
+    m_next_missing_counts_log = now + missing_counts_log_interval;
     const auto silent = experts::silent_ranks(m_book);
     log_event(log_level::warning, "group_not_steered",
               {{"counts_age_ms", to_milliseconds(now - m_observed_at)},
@@ -192,9 +192,9 @@
         return std::nullopt;
     }
     auto& planner = *m_planner;
-    const auto begun = std::chrono::steady_clock::now();
+    const auto started = std::chrono::steady_clock::now();
     m_plan = experts::decide(planner, now);
-    const auto took = std::chrono::steady_clock::now() - begun;
+    const auto elapsed = std::chrono::steady_clock::now() - started;
     if (!m_plan) {
         return std::nullopt;
     }
@@ -205,9 +205,9 @@
                {"step_ms", m_step_seconds * 1000.0},
                {"work_ms", m_work * 1000.0},
                {"tolerated_skew", planner.m_options.m_tolerated_skew},
-               {"map", *m_planned_on},
+               {"map", *m_planner_map_number},
                {"counts_age_ms", to_milliseconds(now - m_observed_at)},
-               {"planning_ms", std::chrono::duration<double, std::milli>(took).count()}});
+               {"planning_ms", std::chrono::duration<double, std::milli>(elapsed).count()}});
     return to_json(experts::to_lists(m_plan->m_map, m_facts.m_experts));
 }
 
@@ -219,7 +219,7 @@
         const bool knows_map = m_plan || follow_map(now);
         observe(now);
         if (may_plan) {
-            watch_steering(now);
+            log_missing_counts(now);
         }
         if (may_plan && knows_map) {
             content = decide(now);
@@ -239,9 +239,9 @@
     const auto last = *std::exchange(m_plan, std::nullopt);
     const bool is_in_force = change.m_result == group_map::change_result::committed;
     experts::settle(*m_planner, last, is_in_force, now);
-    m_told_by = is_in_force ? now + longest_new_map_wait : now;
+    m_map_report_deadline = is_in_force ? now + longest_new_map_wait : now;
     if (is_in_force) {
-        m_planned_on = change.m_settled.m_number;
+        m_planner_map_number = change.m_settled.m_number;
         m_changed_formation = m_book.m_formation.value_or(0);
     }
 }
--- a/dewbeam/src/ranks/rank_engine.cpp
+++ b/dewbeam/src/ranks/rank_engine.cpp
@@ -9,12 +9,12 @@
 
 using group_map::order_kind;
 
-/// A refused fencing number says that a higher one was seen, not which. Numbers count microseconds
-/// of the wall clock at a process's start, so this jumps over lives that began later by a clock
-/// that was ahead.
+/// A refusal says that a higher fencing number was seen, but not which. Fencing numbers start at
+/// the wall clock time of the process start in microseconds. This increment (10 s) passes over
+/// incarnations whose start time came from a clock that was ahead.
 constexpr std::uint64_t fencing_jump = 10'000'000;
 
-/// An engine beside its agent answers within some 10 ms.
+/// An engine next to its agent answers within about 10 ms.
 constexpr std::chrono::milliseconds copy_interval{25};
 constexpr int most_copies = 6;
 
@@ -23,7 +23,7 @@
 group_map::engine_state to_state(const rank_report& report)
 {
     group_map::engine_state result;
-    result.m_group = incarnation(report.m_formation + 1);  // 0 stands for no group
+    result.m_group = incarnation(report.m_formation + 1);  // 0 means no group
     result.m_step = group_map::step_number(report.m_step.value() + 1);
     result.m_current = group_map::map_of_number(report.m_map);
     if (report.m_prepared) {
@@ -57,7 +57,7 @@
     };
     switch (order.m_kind) {
         case order_kind::read:
-            // Going on at a step that has long begun changes nothing but the highest number seen.
+            // A `go` for a step that started long ago only raises the highest number seen.
             return must_raise ? std::vector{make(kind::go)} : std::vector<rank_order>();
         case order_kind::stage:
             return {make(kind::prepare)};
@@ -66,7 +66,7 @@
         case order_kind::switch_map:
             return {make(kind::arm), make(kind::go)};
         case order_kind::release:
-            // Without a prepared map nothing can be armed, and number 0 is in use from the start.
+            // Without a prepared map nothing can be armed; map 0 is in use from the start.
             return order.m_target.m_map.m_number == 0
                        ? std::vector{make(kind::go)}
                        : std::vector{make(kind::disarm), make(kind::go)};
@@ -74,17 +74,17 @@
     return {};
 }
 
-/// One order of the protocol under way.
-struct rank_engine::errand {
-    explicit errand(boost::asio::io_context& context) : m_next_copy(context) {}
+/// An order of the protocol that is in progress.
+struct rank_engine::pending_order {
+    explicit pending_order(boost::asio::io_context& context) : m_next_copy(context) {}
 
     group_map::engine_order m_order;
     placement m_content;
     std::vector<rank_order> m_orders;
-    std::size_t m_next = 0;  ///< of `m_orders`, to be sent
-    // Under the engine's mutex:
-    std::size_t m_settled = 0;  ///< of `m_orders`, answered; the report comes behind them
-    std::vector<std::shared_ptr<http::client_exchange>> m_copies;  ///< of the order under way
+    std::size_t m_next_index = 0;  ///< index in `m_orders` of the next one to send
+    // Guarded by the engine's mutex:
+    std::size_t m_answered = 0;  ///< number of `m_orders` answered; the report counts as one more
+    std::vector<std::shared_ptr<http::client_exchange>> m_copies;  ///< in flight
     boost::asio::steady_timer m_next_copy;
     bool m_is_accepted = true;
     fencing_number m_highest;
@@ -103,51 +103,52 @@
 
 void rank_engine::send(const group_map::engine_order& order, group::order_done done)
 {
-    auto subject = std::make_shared<errand>(m_context);
-    subject->m_order = order;
-    subject->m_highest = order.m_number;
-    subject->m_done = std::move(done);
+    auto pending = std::make_shared<pending_order>(m_context);
+    pending->m_order = order;
+    pending->m_highest = order.m_number;
+    pending->m_done = std::move(done);
     if (order.m_content) {
         auto content = placement_from_json(*order.m_content);
         if (!content.ok()) {
-            subject->m_done(content.status());
+            pending->m_done(content.status());
             return;
         }
-        subject->m_content = *std::move(content);
+        pending->m_content = *std::move(content);
     }
     {
         const std::lock_guard lock(m_mutex);
         m_newest = std::max(m_newest, order.m_number);
-        m_is_newest_harmless = order.m_kind == order_kind::stage;
-        m_under_way = subject;
-        subject->m_orders = to_rank_orders(order, *m_formation, &subject->m_content, m_must_raise);
+        m_is_newest_order_harmless = order.m_kind == order_kind::stage;
+        m_pending_order = pending;
+        pending->m_orders = to_rank_orders(order, *m_formation, &pending->m_content, m_must_raise);
     }
-    next(subject);
+    send_next(pending);
 }
 
-bool rank_engine::keep(errand& subject, std::size_t place,
-                       std::shared_ptr<http::client_exchange> exchange)
+bool rank_engine::track_copy(pending_order& pending, std::size_t index,
+                             std::shared_ptr<http::client_exchange> exchange)
 {
     const std::lock_guard lock(m_mutex);
-    if (subject.m_settled > place || subject.m_order.m_number != m_newest) {
+    if (pending.m_answered > index || pending.m_order.m_number != m_newest) {
         return false;
     }
-    subject.m_copies.push_back(std::move(exchange));
+    pending.m_copies.push_back(std::move(exchange));
     return true;
 }
 
-/// Only the first answer to an order counts.
-bool rank_engine::settle(errand& subject, std::size_t place)
+/// Records the answer to the order at `index` and cancels its other copies. Only the first answer
+/// counts; returns false for later ones.
+bool rank_engine::claim_answer(pending_order& pending, std::size_t index)
 {
     std::vector<std::shared_ptr<http::client_exchange>> others;
     {
         const std::lock_guard lock(m_mutex);
-        if (subject.m_settled > place) {
+        if (pending.m_answered > index) {
             return false;
         }
-        subject.m_settled = place + 1;
-        others.swap(subject.m_copies);
-        subject.m_next_copy.cancel();
+        pending.m_answered = index + 1;
+        others.swap(pending.m_copies);
+        pending.m_next_copy.cancel();
     }
     for (const auto& copy : others) {
         copy->cancel();
@@ -155,81 +156,82 @@
     return true;
 }
 
-/// Calls the engine; only the first end of a call at this place counts.
+/// Calls the engine. Only the first result of the calls with the same `index` counts.
 std::shared_ptr<http::client_exchange> rank_engine::call(
-    const std::shared_ptr<errand>& subject, std::size_t place, const http::request& wanted,
+    const std::shared_ptr<pending_order>& pending, std::size_t index, const http::request& wanted,
     std::function<void(const http::response&)> on_answer)
 {
     return http::call(
         m_client, wanted,
-        [this, self = shared_from_this(), subject, place,
-         on_answer = std::move(on_answer)](const absl::StatusOr<http::response>& got) {
-            if (!settle(*subject, place)) {
+        [this, self = shared_from_this(), pending, index,
+         on_answer = std::move(on_answer)](const absl::StatusOr<http::response>& reply) {
+            if (!claim_answer(*pending, index)) {
                 return;
             }
-            if (!got.ok()) {
-                subject->m_done(got.status());
+            if (!reply.ok()) {
+                pending->m_done(reply.status());
                 return;
             }
-            on_answer(*got);
+            on_answer(*reply);
         });
 }
 
-void rank_engine::next(const std::shared_ptr<errand>& subject)
+void rank_engine::send_next(const std::shared_ptr<pending_order>& pending)
 {
-    if (subject->m_next == subject->m_orders.size()) {
-        report(subject);
+    if (pending->m_next_index == pending->m_orders.size()) {
+        report(pending);
         return;
     }
-    send_copy(subject, subject->m_next++, 1);
+    send_copy(pending, pending->m_next_index++, 1);
 }
 
-/// Sends the order once more for as long as no copy of it is answered. An engine that loses answers
-/// or puts orders off does so with each one by itself, so that one of a few copies is answered
-/// soon. A copy that lands late is refused for its fencing number: what follows an order that holds
-/// or arms always has a higher one.
-void rank_engine::send_copy(const std::shared_ptr<errand>& subject, std::size_t place, int copy)
+/// Sends the order, and repeats it until one of its copies is answered or the maximum is reached.
+/// An engine that loses answers or delays orders does so independently for each, so one of a few
+/// copies is answered soon. A copy that arrives late is refused for its fencing number: whatever
+/// follows a `hold` or `arm` order always has a higher one.
+void rank_engine::send_copy(const std::shared_ptr<pending_order>& pending, std::size_t index,
+                            int copy)
 {
-    const auto order = m_format.m_order_call(subject->m_orders[place]);
-    auto exchange = call(subject, place, order, [this, subject](const http::response& got) {
-        after_order(subject, m_format.m_read_order_result(got.m_status));
+    const auto order = m_format.m_order_call(pending->m_orders[index]);
+    auto exchange = call(pending, index, order, [this, pending](const http::response& reply) {
+        after_order(pending, m_format.m_read_order_result(reply.m_status));
     });
-    if (!keep(*subject, place, std::move(exchange)) || copy == most_copies) {
+    if (!track_copy(*pending, index, std::move(exchange)) || copy == most_copies) {
         return;
     }
-    const std::lock_guard lock(m_mutex);  // a timer is no object for several threads
-    subject->m_next_copy.expires_after(copy_interval);
-    subject->m_next_copy.async_wait([this, self = shared_from_this(), subject, place,
+    const std::lock_guard lock(m_mutex);  // timers are not thread-safe
+    pending->m_next_copy.expires_after(copy_interval);
+    pending->m_next_copy.async_wait([this, self = shared_from_this(), pending, index,
                                      copy](const boost::system::error_code& stopped) {
-        if (!stopped && is_waiting(*subject, place)) {
-            send_copy(subject, place, copy + 1);
+        if (!stopped && is_waiting(*pending, index)) {
+            send_copy(pending, index, copy + 1);
         }
     });
 }
 
-bool rank_engine::is_waiting(const errand& subject, std::size_t place)
+bool rank_engine::is_waiting(const pending_order& pending, std::size_t index)
 {
     const std::lock_guard lock(m_mutex);
-    return subject.m_settled == place && subject.m_order.m_number == m_newest;
+    return pending.m_answered == index && pending.m_order.m_number == m_newest;
 }
 
-void rank_engine::after_order(const std::shared_ptr<errand>& subject, order_result result)
+void rank_engine::after_order(const std::shared_ptr<pending_order>& pending, order_result result)
 {
     switch (result) {
         case order_result::done:
-            note_raised(*subject);
-            next(subject);
+            note_fencing_raised(*pending);
+            send_next(pending);
             return;
         case order_result::unclear:
-            subject->m_done(absl::UnavailableError("the engine's answer says nothing"));
+            pending->m_done(absl::UnavailableError("the engine's answer has an unexpected status"));
             return;
         case order_result::fenced:
-            subject->m_highest = fencing_number(subject->m_order.m_number.value() + fencing_jump);
+            pending->m_highest = fencing_number(pending->m_order.m_number.value() + fencing_jump);
             break;
         case order_result::refused:
             break;
     }
-    const auto& order = subject->m_orders[subject->m_next - 1];
+    const auto& order = pending->m_orders[pending->m_next_index - 1];
     log_event(log_level::info, "order_refused",
               {{"kind", to_string(order.m_kind)},
                {"map", order.m_map},
@@ -237,42 +239,42 @@
                {"formation", order.m_formation},
                {"fencing", order.m_fencing.value()},
                {"fenced", result == order_result::fenced}});
-    subject->m_is_accepted = false;
-    report(subject);
+    pending->m_is_accepted = false;
+    report(pending);
 }
 
-void rank_engine::report(const std::shared_ptr<errand>& subject)
+void rank_engine::report(const std::shared_ptr<pending_order>& pending)
 {
-    const auto place = subject->m_orders.size();
+    const auto index = pending->m_orders.size();
     auto exchange =
-        call(subject, place, m_format.m_report_call(),
-             [this, subject](const http::response& got) { take_report(*subject, got); });
-    keep(*subject, place, std::move(exchange));
+        call(pending, index, m_format.m_report_call(),
+             [this, pending](const http::response& reply) { take_report(*pending, reply); });
+    track_copy(*pending, index, std::move(exchange));
 }
 
-void rank_engine::take_report(const errand& subject, const http::response& got) const
+void rank_engine::take_report(const pending_order& pending, const http::response& reply) const
 {
-    const auto read = m_format.m_read_report(got.m_body);
+    const auto read = m_format.m_read_report(reply.m_body);
     if (!read.ok()) {
-        subject.m_done(read.status());
+        pending.m_done(read.status());
         return;
     }
     if (!read->m_is_open) {
-        subject.m_done(absl::UnavailableError("the group does not run"));
+        pending.m_done(absl::UnavailableError("the engine reports that its group is not running"));
         return;
     }
     group_map::engine_answer answer;
-    answer.m_number = subject.m_order.m_number;
-    answer.m_accepted = subject.m_is_accepted;
-    answer.m_highest = subject.m_highest;
+    answer.m_number = pending.m_order.m_number;
+    answer.m_accepted = pending.m_is_accepted;
+    answer.m_highest = pending.m_highest;
     answer.m_state = to_state(*read);
-    subject.m_done(answer);
+    pending.m_done(answer);
 }
 
-void rank_engine::note_raised(const errand& subject)
+void rank_engine::note_fencing_raised(const pending_order& pending)
 {
     const std::lock_guard lock(m_mutex);
-    if (subject.m_order.m_number == m_newest) {
+    if (pending.m_order.m_number == m_newest) {
         m_must_raise = false;
     }
 }
@@ -282,10 +284,10 @@
     std::vector<std::shared_ptr<http::client_exchange>> copies;
     {
         const std::lock_guard lock(m_mutex);
-        // A `prepare` that lands late changes no map: at worst it is refused for its old number.
-        m_must_raise |= !m_is_newest_harmless;
-        if (m_under_way) {
-            copies = m_under_way->m_copies;
+        // A `prepare` that arrives late changes no map; at worst it is refused for its old number.
+        m_must_raise |= !m_is_newest_order_harmless;
+        if (m_pending_order) {
+            copies = m_pending_order->m_copies;
         }
     }
     for (const auto& copy : copies) {
--- a/dewbeam/src/ranks/rank_engine.h
+++ b/dewbeam/src/ranks/rank_engine.h
@@ -1,16 +1,16 @@
 /// \file
-/// Carries out the expert map protocol's orders at an engine that prepares, arms, holds and goes.
+/// Translates the expert map protocol's orders for an engine that prepares, arms, holds and goes.
 ///
-/// | the protocol asks for | the engine is told |
+/// | order of the protocol | orders to the engine |
 /// |---|---|
 /// | stage | prepare |
 /// | hold at a step | hold |
-/// | switch there | arm, and only once that is certain: go |
-/// | release | disarm, and only once that is certain: go |
+/// | switch there | arm, and once that is confirmed: go |
+/// | release | disarm, and once that is confirmed: go |
 ///
-/// A rank that is let go without being armed, while another one is, would begin the step under
-/// another map than the rest of its group: so `go` is never sent after an `arm` or `disarm` whose
-/// end isn't known. Each order brings a report of the engine's state afterwards.
+/// If one rank is released without being armed while another one is armed, it starts the step with
+/// a different map from the rest of its group. Therefore `go` is never sent after an `arm` or
+/// `disarm` whose result isn't known. After each order the engine's state is read.
 #pragma once
 
 #include <atomic>
@@ -24,19 +24,20 @@
 
 namespace dewbeam::ranks {
 
-/// The state that the protocol knows, from an engine's own report.
+/// Converts an engine's report to the protocol's engine state.
 group_map::engine_state to_state(const rank_report& report);
 
-/// The orders to an engine for one of the protocol's, in their order.
+/// The orders to an engine for one order of the protocol, in sequence. With `must_raise`, a read is
+/// done by an order that raises the engine's fencing number.
 std::vector<rank_order> to_rank_orders(const group_map::engine_order& order,
                                        std::uint64_t formation, const placement* content,
                                        bool must_raise);
 
-/// One engine; lives in a `shared_ptr`, which its calls keep.
+/// One engine. Must be owned by a `shared_ptr`, which its calls in flight hold.
 class rank_engine : public group::engine_port, public std::enable_shared_from_this<rank_engine> {
 public:
-    /// `address` is the engine's; orders are meant for the formation of the group that `formation`
-    /// holds when they are sent.
+    /// `address` is the engine's. Orders are sent for the formation of the group that `formation`
+    /// holds at that time.
     rank_engine(boost::asio::io_context& context, const endpoint& address,
                 const http::client_options& options, const rank_format& format,
                 std::shared_ptr<const std::atomic<std::uint64_t>> formation);
@@ -45,20 +46,21 @@
     void cancel() override;
 
 private:
-    struct errand;
+    struct pending_order;
 
-    void next(const std::shared_ptr<errand>& subject);
+    void send_next(const std::shared_ptr<pending_order>& pending);
     std::shared_ptr<http::client_exchange> call(
-        const std::shared_ptr<errand>& subject, std::size_t place, const http::request& wanted,
-        std::function<void(const http::response&)> on_answer);
-    void send_copy(const std::shared_ptr<errand>& subject, std::size_t place, int copy);
-    bool settle(errand& subject, std::size_t place);
-    bool is_waiting(const errand& subject, std::size_t place);
-    void after_order(const std::shared_ptr<errand>& subject, order_result result);
-    void report(const std::shared_ptr<errand>& subject);
-    void take_report(const errand& subject, const http::response& got) const;
-    void note_raised(const errand& subject);
-    bool keep(errand& subject, std::size_t place, std::shared_ptr<http::client_exchange> exchange);
+        const std::shared_ptr<pending_order>& pending, std::size_t index,
+        const http::request& wanted, std::function<void(const http::response&)> on_answer);
+    void send_copy(const std::shared_ptr<pending_order>& pending, std::size_t index, int copy);
+    bool claim_answer(pending_order& pending, std::size_t index);
+    bool is_waiting(const pending_order& pending, std::size_t index);
+    void after_order(const std::shared_ptr<pending_order>& pending, order_result result);
+    void report(const std::shared_ptr<pending_order>& pending);
+    void take_report(const pending_order& pending, const http::response& reply) const;
+    void note_fencing_raised(const pending_order& pending);
+    bool track_copy(pending_order& pending, std::size_t index,
+                    std::shared_ptr<http::client_exchange> exchange);
 
     boost::asio::io_context& m_context;
     http::client m_client;
@@ -66,10 +68,10 @@
     std::mutex m_mutex;
     std::shared_ptr<const std::atomic<std::uint64_t>> m_formation;
     fencing_number m_newest;
-    bool m_is_newest_harmless = false;    ///< it may be carried out at any time
-    std::shared_ptr<errand> m_under_way;  ///< the newest order
-    /// An order whose end isn't known, of this process or of an earlier one, may still be carried
-    /// out: the next order must be one that raises the fencing number, even if only to read.
+    bool m_is_newest_order_harmless = false;         ///< the order may safely be carried out late
+    std::shared_ptr<pending_order> m_pending_order;  ///< the newest order
+    /// An order whose result isn't known, of this process or of an earlier one, may still be
+    /// carried out. The next order must therefore raise the fencing number, even if it only reads.
     bool m_must_raise = true;
 };
 
--- a/dewbeam/src/ranks/rank_format.cpp
+++ b/dewbeam/src/ranks/rank_format.cpp
@@ -36,7 +36,8 @@
     const auto is_rank = [&](const nlohmann::json& item) { return is_list_of(item, is_expert); };
     const auto is_layer = [&](const nlohmann::json& item) { return is_list_of(item, is_rank); };
     if (!is_list_of(source, is_layer)) {
-        return absl::InvalidArgumentError("a placement is lists of experts, by layer and rank");
+        return absl::InvalidArgumentError(
+            "placement is not an array of layers, each an array of ranks with expert numbers");
     }
     return source.get<placement>();
 }
--- a/dewbeam/src/ranks/rank_server.cpp
+++ b/dewbeam/src/ranks/rank_server.cpp
@@ -26,10 +26,11 @@
 using json = nlohmann::json;
 
 constexpr time_span report_interval = std::chrono::milliseconds(400);
-/// A rank agent needs the registries only for the addresses of the other ranks.
+/// A rank agent needs the registries only for the other ranks' addresses and the configuration.
 constexpr time_span watch_interval = std::chrono::milliseconds(500);
-/// Of the operator's configuration it reads the engine's timing alone. A document of hundreds of
-/// routes fills a narrow link for most of a second, and may change several times a second.
+/// The agent reads only its engines' properties from the operator's configuration. A document of
+/// hundreds of routes fills a narrow link for most of a second and may change several times a
+/// second.
 constexpr time_span document_interval = std::chrono::seconds(10);
 
 http::client_options engine_client_options()
@@ -71,24 +72,25 @@
         : m_frame(frame),
           m_settings(settings),
           m_format(format),
-          m_life(program::new_incarnation()),
+          m_incarnation(program::new_incarnation()),
           m_address(
               parse_endpoint(setting_value<std::string>(settings, "/engine/address")).value()),
           m_reports(frame.context(), m_address, engine_client_options()),
           m_engine(make_engine(m_address)),
           m_feed(registrar::registry_addresses(settings),
-                 {false, watch_interval, document_interval, m_life.value()}, handlers_of())
+                 {false, watch_interval, document_interval, m_incarnation.value()},
+                 make_feed_handlers())
     {
     }
 
     absl::Status start()
     {
-        auto node = program::start_node(m_settings, m_life,
+        auto node = program::start_node(m_settings, m_incarnation,
                                         {[this](const link::peer& from, wire::Envelope&& message) {
                                              on_message(from, message);
                                          },
-                                         [this](const std::vector<link::peer>& gone) {
-                                             for (const auto& item : gone) {
+                                         [this](const std::vector<link::peer>& lost_peers) {
+                                             for (const auto& item : lost_peers) {
                                                  m_feed.lost(item);
                                              }
                                          }});
@@ -119,7 +121,7 @@
     ~implementation()
     {
         if (m_node) {
-            m_node->stop();  // its thread uses the members that end before it
+            m_node->stop();  // its thread uses members that are destroyed before it
         }
     }
 
@@ -129,7 +131,7 @@
     implementation& operator=(implementation&&) = delete;
 
 private:
-    registrar::feed_handlers handlers_of()
+    registrar::feed_handlers make_feed_handlers()
     {
         registrar::feed_handlers result;
         result.m_send = [this](const std::string& address, wire::Envelope&& message) {
@@ -174,16 +176,16 @@
         }
         const auto runner = current_runner();
         if (runner && message.has_group()) {
-            note_command();
+            record_command();
             runner->on_message(message.group(), now);
         }
         else if (runner && message.has_group_bundle()) {
-            note_command();
+            record_command();
             runner->on_bundle(message.group_bundle(), now);
         }
     }
 
-    void note_command()
+    void record_command()
     {
         const std::lock_guard lock(m_mutex);
         m_count_schedule.m_was_commanded = true;
@@ -201,24 +203,24 @@
         return m_balancer;
     }
 
-    /// The way to a rank's engine, for orders alone.
+    /// A connection to a rank's engine, used only for orders.
     std::shared_ptr<rank_engine> make_engine(const endpoint& address)
     {
         return std::make_shared<rank_engine>(m_frame.context(), address, engine_client_options(),
                                              m_format, m_formation);
     }
 
-    // What the engine says.
+    // Reports and counts of the engine.
 
-    void ask_report(time_point now)
+    void request_report(time_point now)
     {
-        if (m_is_asking_report.exchange(true)) {
+        if (m_is_report_requested.exchange(true)) {
             return;
         }
         m_next_report = now + report_interval;
         http::call(m_reports, m_format.m_report_call(),
                    [this](const absl::StatusOr<http::response>& got) {
-                       m_is_asking_report = false;
+                       m_is_report_requested = false;
                        const auto read = got.ok() ? m_format.m_read_report(got->m_body)
                                                   : absl::StatusOr<rank_report>(got.status());
                        const std::lock_guard lock(m_mutex);
@@ -229,9 +231,9 @@
                    });
     }
 
-    void ask_counts()
+    void request_counts()
     {
-        if (m_is_asking_counts.exchange(true)) {
+        if (m_are_counts_requested.exchange(true)) {
             return;
         }
         http::call(m_reports, m_format.m_holding_call(),
@@ -239,28 +241,28 @@
                        auto holding = got.ok() ? m_format.m_read_holding(got->m_body)
                                                : absl::StatusOr<rank_holding>(got.status());
                        if (!holding.ok()) {
-                           m_is_asking_counts = false;
+                           m_are_counts_requested = false;
                            return;
                        }
-                       ask_counts_of(*std::move(holding));
+                       request_counts_with(*std::move(holding));
                    });
     }
 
-    void ask_counts_of(rank_holding holding)
+    void request_counts_with(rank_holding holding)
     {
         http::call(m_reports, m_format.m_counts_call(),
                    [this, holding = std::move(holding)](const absl::StatusOr<http::response>& got) {
-                       m_is_asking_counts = false;
+                       m_are_counts_requested = false;
                        const auto counts = got.ok() ? m_format.m_read_counts(got->m_body)
                                                     : absl::StatusOr<rank_counts>(got.status());
                        if (counts.ok() && counts->m_formation == holding.m_formation) {
-                           tell_counts(*counts, holding);
+                           send_counts(*counts, holding);
                        }
                    });
     }
 
-    /// Tells the coordinating rank what this one counted.
-    void tell_counts(const rank_counts& counts, const rank_holding& holding)
+    /// Sends this rank's counts to the coordinator.
+    void send_counts(const rank_counts& counts, const rank_holding& holding)
     {
         const auto runner = current_runner();
         if (!runner) {
@@ -270,24 +272,25 @@
         const auto ranks = static_cast<std::uint32_t>(rank_count());
         const auto tellers = group::tellers(ranks);
         const bool has_relays = tellers < ranks;
-        const auto ways = runner->routes_to_coordinator(now);
+        const auto routes = runner->routes_to_coordinator(now);
         wire::GroupMessage message;
-        if (has_relays && !ways.m_has_coordinator) {
+        if (has_relays && !routes.m_has_coordinator) {
             set_counts_interval(pace_of(ranks, 0, link_rate()).m_interval);
-            *message.mutable_counts() = sign_of_life(own_rank(), counts, holding, last_pace());
+            *message.mutable_counts() =
+                liveness_report(own_rank(), counts, holding, last_slowdown());
         }
         else {
-            const auto pace = pace_of(tellers, counts.m_counts.size(), link_rate());
-            set_counts_interval(pace.m_interval);
-            *message.mutable_counts() =
-                to_wire(own_rank(), counts, holding, last_pace(), pace.m_bits, m_own_told);
+            const auto parameters = pace_of(tellers, counts.m_counts.size(), link_rate());
+            set_counts_interval(parameters.m_interval);
+            *message.mutable_counts() = to_wire(own_rank(), counts, holding, last_slowdown(),
+                                                parameters.m_bits, m_own_reported);
         }
-        for (const auto& way : ways.m_routes) {
-            send_to_rank(way, message, now);
+        for (const auto& rank_route : routes.m_routes) {
+            send_to_rank(rank_route, message, now);
         }
     }
 
-    /// Of a rank's host, in bytes a second.
+    /// Bandwidth of a rank's host in bytes per second.
     [[nodiscard]] byte_count link_rate() const
     {
         constexpr double bytes_of_mbit = 125'000;
@@ -307,20 +310,20 @@
         return m_layout.m_rank;
     }
 
-    void send_to_rank(const group::route& way, wire::GroupMessage message, time_point now)
+    void send_to_rank(const group::route& rank_route, wire::GroupMessage message, time_point now)
     {
         std::string target;
         {
             const std::lock_guard lock(m_mutex);
-            const auto through = way.m_through;
+            const auto through = rank_route.m_through;
             message.set_group(m_layout.m_group);
             message.set_from_rank(m_layout.m_rank.value());
-            message.set_to_rank(way.m_to.value());
+            message.set_to_rank(rank_route.m_to.value());
             if (through != m_layout.m_rank && through.value() < m_layout.m_members.size()) {
                 target = m_layout.m_members[through.value()];
             }
             else if (through != m_layout.m_rank) {
-                return;  // a smaller group than there may be coordinators
+                return;  // the group has fewer ranks than there may be coordinators
             }
         }
         if (target.empty()) {
@@ -342,7 +345,7 @@
         const rank_id to(message.to_rank());
         if (to != own_rank()) {
             relay_counts(to, message.counts());
-            tell_relayed_counts(now);
+            forward_relayed_counts(now);
             return;
         }
         auto sample = from_wire(message.counts(), now);
@@ -364,8 +367,8 @@
         }
     }
 
-    /// Sends on what the block's ranks told.
-    void tell_relayed_counts(time_point now)
+    /// Forwards the sum of the block's counts if it is due.
+    void forward_relayed_counts(time_point now)
     {
         std::optional<wire::RankCounts> sum;
         rank_id to;
@@ -388,7 +391,7 @@
 
     // The group.
 
-    /// All rank agents use the same port.
+    /// The link port, which is the same for all rank agents.
     [[nodiscard]] std::uint16_t link_port() const
     {
         return parse_endpoint(setting_value<std::string>(m_settings, "/link/listen"))->m_port;
@@ -410,7 +413,7 @@
     {
         ++m_runners;
         auto options = group::make_group_options(
-            at.m_group, at.m_members, at.m_rank, incarnation(m_life.value() + m_runners),
+            at.m_group, at.m_members, at.m_rank, incarnation(m_incarnation.value() + m_runners),
             setting_value<bool>(m_settings, "/engine/checks_fencing"));
         set_timing(options);
         options.m_make_port =
@@ -424,11 +427,11 @@
         return options;
     }
 
-    /// Takes part in the group as it is now; a new member list is a new part.
+    /// Joins the group as it is now. A changed layout replaces the runner and the balancer.
     void follow_group(time_point now)
     {
-        std::shared_ptr<group::group_runner> begun;
-        std::shared_ptr<group::group_runner> ended;
+        std::shared_ptr<group::group_runner> started;
+        std::shared_ptr<group::group_runner> previous;
         {
             const std::lock_guard lock(m_mutex);
             const auto at =
@@ -437,7 +440,7 @@
             if (!facts) {
                 return;
             }
-            ended = std::exchange(m_runner, nullptr);
+            previous = std::exchange(m_runner, nullptr);
             m_layout = *at;
             group::group_hooks hooks;
             hooks.m_on_change = [this](const group_map::ended_change& change) {
@@ -445,25 +448,25 @@
                     balancer->on_change(change, program::now());
                 }
             };
-            begun = std::make_shared<group::group_runner>(options_of(*at), std::move(hooks),
-                                                          m_engine, now);
+            started = std::make_shared<group::group_runner>(options_of(*at), std::move(hooks),
+                                                            m_engine, now);
             m_balancer = std::make_shared<rank_balancer>(
                 *facts, static_cast<std::uint32_t>(at->m_members.size()),
-                [runner = std::weak_ptr(begun)](const std::string& content) {
+                [runner = std::weak_ptr(started)](const std::string& content) {
                     const auto subject = runner.lock();
                     return subject && subject->propose(content, program::now());
                 });
-            m_runner = begun;
+            m_runner = started;
             m_count_relay = {};
             log_event(log_level::info, "group_joined",
                       {{"group", at->m_group},
                        {"rank", at->m_rank.value()},
                        {"ranks", at->m_members.size()}});
         }
-        if (ended) {
-            ended->stop();
+        if (previous) {
+            previous->stop();
         }
-        begun->start(*m_node, now);
+        started->start(*m_node, now);
     }
 
     [[nodiscard]] std::size_t rank_count() const
@@ -472,14 +475,14 @@
         return m_layout.m_members.size();
     }
 
-    [[nodiscard]] double last_pace() const
+    [[nodiscard]] double last_slowdown() const
     {
         const std::lock_guard lock(m_mutex);
         return m_report ? m_report->m_pace : 1.0;
     }
 
-    /// This rank's pace, where it is slow.
-    [[nodiscard]] registrar::pace_list own_pace() const
+    /// This rank's slowdown; empty if it isn't slow.
+    [[nodiscard]] registrar::pace_list own_slowdown() const
     {
         constexpr double usual = 1.0;
         const std::lock_guard lock(m_mutex);
@@ -502,15 +505,15 @@
 
     void tick(time_point now)
     {
-        m_feed.tick({}, own_pace(), now);
+        m_feed.tick({}, own_slowdown(), now);
         if (now >= m_next_report) {
-            ask_report(now);
+            request_report(now);
             follow_group(now);
         }
         if (is_time_to_count(now)) {
-            ask_counts();
+            request_counts();
         }
-        tell_relayed_counts(now);
+        forward_relayed_counts(now);
         const auto runner = current_runner();
         if (!runner) {
             return;
@@ -528,29 +531,29 @@
     program::program& m_frame;
     json m_settings;
     const rank_format& m_format;
-    incarnation m_life;
+    incarnation m_incarnation;
     endpoint m_address;
     http::client m_reports;
-    /// Formation of the group, as this rank's engine said last.
+    /// Formation of the group, as last reported by this rank's engine.
     std::shared_ptr<std::atomic<std::uint64_t>> m_formation =
         std::make_shared<std::atomic<std::uint64_t>>(0);
     std::shared_ptr<rank_engine> m_engine;
     registrar::registry_feed m_feed;
-    std::atomic<bool> m_is_started = false;  ///< the node is there
-    std::atomic<bool> m_is_asking_report = false;
-    std::atomic<bool> m_is_asking_counts = false;
-    time_point m_next_report{};   ///< used on the frame's thread alone
-    std::uint64_t m_runners = 0;  ///< the same
-    told_counts m_own_told;       ///< used by one question for counts at a time
+    std::atomic<bool> m_is_started = false;  ///< the link node exists
+    std::atomic<bool> m_is_report_requested = false;
+    std::atomic<bool> m_are_counts_requested = false;
+    time_point m_next_report{};   ///< used only on the frame's thread
+    std::uint64_t m_runners = 0;  ///< likewise
+    told_counts m_own_reported;   ///< used by one request for counts at a time
     mutable std::mutex m_mutex;
-    std::map<upstream_id, registry::announcement> m_upstreams;  ///< under m_mutex, as all below
+    std::map<upstream_id, registry::announcement> m_upstreams;  ///< under m_mutex, like all below
     std::string m_configuration;
     std::optional<rank_report> m_report;
     group_layout m_layout;
     std::shared_ptr<group::group_runner> m_runner;
     std::shared_ptr<rank_balancer> m_balancer;
     count_schedule m_count_schedule;
-    count_relay m_count_relay;           ///< what other ranks told on its way to the coordinator
+    count_relay m_count_relay;           ///< other ranks' counts on their way to the coordinator
     std::unique_ptr<link::node> m_node;  ///< set at the start
 };
 
--- a/dewbeam/src/ranks/rank_server.h
+++ b/dewbeam/src/ranks/rank_server.h
@@ -1,6 +1,6 @@
 /// \file
-/// The rank agent program: beside each rank of a lock-step group, it keeps the group's expert map
-/// even. No request passes through it, so that its end costs none.
+/// The rank agent program. It runs beside each rank of a lock-step group and balances the group's
+/// expert map. No request passes through it, so no request is lost if it exits.
 #pragma once
 
 #include <memory>
@@ -26,7 +26,7 @@
     /// Opens the link.
     absl::Status start();
 
-    /// What the program's frame calls.
+    /// Hooks for the program's frame.
     program::program_hooks hooks();
 
 private:
--- a/test/rank_balancer_test.cpp
+++ b/test/rank_balancer_test.cpp
@@ -1,4 +1,4 @@
-// The balancer of one group: which map it plans from, and which counts it plans on.
+// The balancer of one group: the map that it plans from and the counts that it uses.
 #include "dewbeam/src/ranks/rank_balancer.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 constexpr std::uint32_t rank_count = 4;
 constexpr std::uint32_t expert_count = 8;
-constexpr time_span told_each = milliseconds(120);
+constexpr time_span sample_interval = milliseconds(120);
 
 engine_facts small_facts()
 {
@@ -26,10 +26,10 @@
     return facts;
 }
 
-/// A group whose ranks tell what they count and hold.
-class telling_group {
+/// A group whose ranks report their counts and held experts.
+class reporting_group {
 public:
-    telling_group()
+    reporting_group()
         : m_balancer(small_facts(), rank_count, [this](const std::string& content) {
               m_proposed = placement_from_json(content).value();
               return true;
@@ -40,38 +40,38 @@
         m_held = m_first;
     }
 
-    /// All ranks choose `popular` most and tell, until a plan is proposed or the time is over.
-    bool play_until_plan(std::uint32_t popular, time_span length)
+    /// All ranks choose `popular` most and report, until a plan is proposed or `limit` has passed.
+    bool run_until_plan(std::uint32_t popular, time_span limit)
     {
         m_proposed.reset();
-        for (const auto end = m_now + length; m_now < end && !m_proposed; m_now += told_each) {
-            tell(popular);
+        for (const auto end = m_now + limit; m_now < end && !m_proposed; m_now += sample_interval) {
+            report_counts(popular);
             m_balancer.tick(true, m_now);
         }
         return m_proposed.has_value();
     }
 
-    /// The plan is in force; whether the ranks tell of it already.
-    void put_in_force(std::uint64_t number, bool is_told)
+    /// Puts the plan in force; `is_map_reported`: the ranks already report it.
+    void put_in_force(std::uint64_t number, bool is_map_reported)
     {
         group_map::ended_change change;
         change.m_result = group_map::change_result::committed;
         change.m_settled = group_map::map_of_number(number);
         m_balancer.on_change(change, m_now);
-        if (is_told) {
+        if (is_map_reported) {
             m_held = *m_proposed;
             m_map = number;
         }
     }
 
-    void form_anew()
+    void form_group_again()
     {
         ++m_formation;
         m_map = 0;
         m_held = m_first;
     }
 
-    /// Most experts of the plan that one rank does not hold.
+    /// Maximum number of experts of the plan that a rank does not hold, over all ranks.
     std::size_t most_new()
     {
         std::size_t result = 0;
@@ -91,10 +91,10 @@
     std::optional<placement> m_proposed;
 
 private:
-    void tell(std::uint32_t popular)
+    void report_counts(std::uint32_t popular)
     {
-        constexpr std::uint64_t steps_of_telling = 2;
-        m_step += steps_of_telling;
+        constexpr std::uint64_t steps_of_sample = 2;
+        m_step += steps_of_sample;
         std::vector<std::uint64_t> counts(expert_count, 1'000);
         counts[popular] = 8'000;
         for (std::uint32_t rank = 0; rank < rank_count; ++rank) {
@@ -106,7 +106,7 @@
             experts::count_sample sample;
             sample.m_formation = m_formation;
             sample.m_counts = counts;
-            sample.m_steps = steps_of_telling;
+            sample.m_steps = steps_of_sample;
             sample.m_ranks = {{rank_id(rank), state}};
             m_balancer.take(std::move(sample), m_now);
         }
@@ -122,21 +122,21 @@
 
 TEST(rank_balancer, plans_again_before_the_ranks_tell_of_a_map_it_put_in_force)
 {
-    telling_group group;
-    ASSERT_TRUE(group.play_until_plan(0, std::chrono::seconds(2)));
+    reporting_group group;
+    ASSERT_TRUE(group.run_until_plan(0, std::chrono::seconds(2)));
     group.put_in_force(7, false);
-    EXPECT_TRUE(group.play_until_plan(5, milliseconds(600)));
+    EXPECT_TRUE(group.run_until_plan(5, milliseconds(600)));
 }
 
 TEST(rank_balancer, plans_from_what_the_ranks_tell_once_the_group_has_formed_anew)
 {
-    telling_group group;
-    ASSERT_TRUE(group.play_until_plan(0, std::chrono::seconds(2)));
+    reporting_group group;
+    ASSERT_TRUE(group.run_until_plan(0, std::chrono::seconds(2)));
     group.put_in_force(7, true);
-    ASSERT_TRUE(group.play_until_plan(5, std::chrono::seconds(1)));
+    ASSERT_TRUE(group.run_until_plan(5, std::chrono::seconds(1)));
     group.put_in_force(8, true);
-    group.form_anew();
-    ASSERT_TRUE(group.play_until_plan(5, std::chrono::seconds(1)));
+    group.form_group_again();
+    ASSERT_TRUE(group.run_until_plan(5, std::chrono::seconds(1)));
     EXPECT_LE(group.most_new(), 1U) << "planned from a map that the group has forgotten";
 }
 
--- a/test/ranks_test.cpp
+++ b/test/ranks_test.cpp
@@ -1,4 +1,4 @@
-// The rank agent: what its engine is told, what all ranks count and hold together.
+// The rank agent: orders to its engine, and the counts and maps that the ranks report.
 #include "dewbeam/ranks"
 
 #include <gtest/gtest.h>
@@ -57,7 +57,7 @@
     EXPECT_EQ(kinds_of(order_kind::read, 0, true), std::vector{kind::go});
 }
 
-/// A format that says just enough for orders to be sent and a report to be read.
+/// A minimal format: enough to send orders and read a report.
 rank_format small_format()
 {
     rank_format result;
@@ -77,10 +77,10 @@
     return result;
 }
 
-/// An engine on the loopback that answers no order before the `m_first_answered`th.
-class deaf_engine {
+/// A loopback engine that leaves orders unanswered up to number `m_first_answered_order`.
+class unresponsive_engine {
 public:
-    explicit deaf_engine(int first_answered) : m_first_answered(first_answered)
+    explicit unresponsive_engine(int first_answered) : m_first_answered_order(first_answered)
     {
         http::server_options options;
         options.m_listen = {"127.0.0.1", 0};
@@ -88,7 +88,7 @@
             http::server::start(
                 m_context, options,
                 [this](http::request&& wanted, const auto& answer) {
-                    if (wanted.m_method == "POST" && ++m_orders < m_first_answered) {
+                    if (wanted.m_method == "POST" && ++m_orders < m_first_answered_order) {
                         m_unanswered.push_back(answer);
                         return;
                     }
@@ -102,27 +102,27 @@
         });
     }
 
-    ~deaf_engine()
+    ~unresponsive_engine()
     {
         m_context.stop();
         m_thread.join();
     }
 
-    deaf_engine(const deaf_engine&) = delete;
-    deaf_engine& operator=(const deaf_engine&) = delete;
-    deaf_engine(deaf_engine&&) = delete;
-    deaf_engine& operator=(deaf_engine&&) = delete;
+    unresponsive_engine(const unresponsive_engine&) = delete;
+    unresponsive_engine& operator=(const unresponsive_engine&) = delete;
+    unresponsive_engine(unresponsive_engine&&) = delete;
+    unresponsive_engine& operator=(unresponsive_engine&&) = delete;
 
     boost::asio::io_context m_context;
     std::unique_ptr<http::server> m_server;
     std::vector<std::shared_ptr<http::exchange>> m_unanswered;
     std::thread m_thread;
     std::atomic<int> m_orders = 0;
-    int m_first_answered;
+    int m_first_answered_order;
 };
 
-/// Sends one order that holds to an engine, and gives what came of it.
-absl::StatusOr<group_map::engine_answer> hold_at(deaf_engine& engine,
+/// Sends one `hold` order to an engine and returns its result.
+absl::StatusOr<group_map::engine_answer> hold_at(unresponsive_engine& engine,
                                                  std::chrono::milliseconds cancel_after)
 {
     const auto format = small_format();
@@ -146,7 +146,7 @@
 
 TEST(rank_engine, an_unanswered_order_is_sent_again_until_a_copy_is_answered)
 {
-    deaf_engine engine(4);
+    unresponsive_engine engine(4);
     const auto answer = hold_at(engine, std::chrono::seconds(10));
     ASSERT_TRUE(answer.ok()) << answer.status().message();
     EXPECT_TRUE(answer->m_accepted);
@@ -155,7 +155,7 @@
 
 TEST(rank_engine, copies_of_an_order_end_with_its_cancellation)
 {
-    deaf_engine engine(1000);
+    unresponsive_engine engine(1000);
     EXPECT_FALSE(hold_at(engine, std::chrono::milliseconds(300)).ok());
     const int sent = engine.m_orders;
     EXPECT_LE(sent, 6);
@@ -187,22 +187,22 @@
 TEST(count_wire, what_is_rounded_off_comes_with_a_later_telling)
 {
     for (const std::uint32_t bits : {4U, 8U}) {
-        told_counts told;
+        told_counts reported;
         std::vector<std::uint64_t> totals;
         std::vector<std::uint64_t> counts{0, 65'000, 9'000'000};
-        ASSERT_TRUE(add_counts(totals, pack_counts(told, counts, bits), counts.size()));
+        ASSERT_TRUE(add_counts(totals, pack_counts(reported, counts, bits), counts.size()));
         for (int round = 0; round < 10; ++round) {
             counts[0] += 4;
             counts[1] += 4'000;
             counts[2] += 60'000;
-            const auto sent = pack_counts(told, counts, bits);
+            const auto sent = pack_counts(reported, counts, bits);
             EXPECT_EQ(sent.m_bytes.size(), bits == 4 ? 2U : 3U);
             ASSERT_TRUE(add_counts(totals, sent, counts.size()));
         }
         while (totals != std::vector<std::uint64_t>{40, 40'000, 600'000}) {
             const auto before = totals;
-            ASSERT_TRUE(add_counts(totals, pack_counts(told, counts, bits), counts.size()));
-            ASSERT_NE(totals, before) << bits << " bits: something is never told";
+            ASSERT_TRUE(add_counts(totals, pack_counts(reported, counts, bits), counts.size()));
+            ASSERT_NE(totals, before) << bits << " bits: some counts are never reported";
         }
     }
 }
@@ -210,7 +210,7 @@
 RC_GTEST_PROP(count_wire, no_count_is_off_by_more_than_was_dropped, (std::uint64_t seed))
 {
     random_engine random(seed);
-    told_counts told;
+    told_counts reported;
     std::vector<std::uint64_t> totals;
     std::vector<std::uint64_t> counts(31, 1'000);
     const std::uint32_t bits = uniform_below(random, 2) == 0 ? 4 : 8;
@@ -218,20 +218,20 @@
         for (auto& count : counts) {
             count += uniform_below(random, 5'000);
         }
-        const auto sent = pack_counts(told, counts, bits);
+        const auto sent = pack_counts(reported, counts, bits);
         RC_ASSERT(add_counts(totals, sent, counts.size()));
         for (std::size_t i = 0; i < counts.size(); ++i) {
-            RC_ASSERT(counts[i] - told.m_told[i] < (1ULL << sent.m_dropped_bits));
+            RC_ASSERT(counts[i] - reported.m_reported[i] < (1ULL << sent.m_dropped_bits));
         }
     }
 }
 
 TEST(count_wire, an_engine_that_starts_anew_is_told_from_its_new_beginning)
 {
-    told_counts told;
+    told_counts reported;
     std::vector<std::uint64_t> totals;
     for (const std::uint64_t count : {500, 700, 30, 90}) {
-        ASSERT_TRUE(add_counts(totals, pack_counts(told, {count}, 8), 1));
+        ASSERT_TRUE(add_counts(totals, pack_counts(reported, {count}, 8), 1));
     }
     EXPECT_EQ(totals, std::vector<std::uint64_t>{260});  // 500 to 700, then 30 to 90
 }
@@ -240,14 +240,14 @@
 {
     constexpr std::size_t ranks = 3;
     const time_point now{std::chrono::seconds(1)};
-    std::vector<told_counts> told(ranks);
+    std::vector<told_counts> reported(ranks);
     count_relay relay;
     std::vector<std::uint64_t> total;
     for (const std::uint64_t step : {10, 20, 30}) {
         for (std::uint32_t rank = 0; rank < ranks; ++rank) {
             const rank_counts counts{1, step, {step * 10, step * (rank + 1), 0}};
             const auto message =
-                to_wire(rank_id(rank), counts, {1, 0, {{rank}}}, 1.0, 8, told[rank]);
+                to_wire(rank_id(rank), counts, {1, 0, {{rank}}}, 1.0, 8, reported[rank]);
             EXPECT_FALSE(is_due(relay, ranks, now)) << "ranks are missing";
             ASSERT_TRUE(add(relay, rank_id(7), message, now));
         }
@@ -258,18 +258,18 @@
         EXPECT_EQ(sum->steps(), step == 10 ? 0U : 10 * ranks);
         ASSERT_TRUE(add_counts(total, packed_of(*sum), 3));
     }
-    // Each rank's first telling only sets its beginning; the rest may lack what was rounded off.
+    // Each rank's first report only sets its baseline; the others may lack what was rounded off.
     EXPECT_NEAR(static_cast<double>(total[0]), 600.0, 16.0);
     EXPECT_NEAR(static_cast<double>(total[1]), 120.0, 16.0);
-    EXPECT_FALSE(take_sum(relay, 8)) << "nothing new came";
+    EXPECT_FALSE(take_sum(relay, 8)) << "no new report arrived";
 }
 
 TEST(count_relay, counts_that_cannot_be_read_change_nothing)
 {
     const time_point now{std::chrono::seconds(1)};
-    told_counts told;
+    told_counts reported;
     count_relay relay;
-    auto message = to_wire(rank_id(1), {1, 10, {1, 2}}, {1, 0, {{1}}}, 1.0, 8, told);
+    auto message = to_wire(rank_id(1), {1, 10, {1, 2}}, {1, 0, {{1}}}, 1.0, 8, reported);
     ASSERT_TRUE(add(relay, rank_id(0), message, now));
     message.set_formation(2);
     message.set_experts(4'000'000'000);
@@ -281,9 +281,9 @@
 TEST(count_relay, waits_for_a_late_rank_for_a_moment_only)
 {
     const time_point now{std::chrono::seconds(1)};
-    told_counts told;
+    told_counts reported;
     count_relay relay;
-    const auto message = to_wire(rank_id(1), {1, 10, {1, 2}}, {1, 0, {{1}}}, 1.0, 8, told);
+    const auto message = to_wire(rank_id(1), {1, 10, {1, 2}}, {1, 0, {{1}}}, 1.0, 8, reported);
     ASSERT_TRUE(add(relay, rank_id(0), message, now));
     EXPECT_FALSE(is_due(relay, 2, now));
     EXPECT_TRUE(is_due(relay, 2, now + std::chrono::milliseconds(100)));
@@ -294,15 +294,15 @@
     for (const std::size_t tellers : {8, 12, 32, 100}) {
         for (const std::int64_t rate : {250'000, 750'000, 125'000'000}) {
             constexpr std::size_t counts = 4128;
-            const auto pace = pace_of(tellers, counts, {rate});
-            const auto bytes = static_cast<double>(tellers * counts * pace.m_bits) / 8;
-            EXPECT_LE(bytes / to_seconds(pace.m_interval), static_cast<double>(rate) / 2 + 1);
+            const auto parameters = pace_of(tellers, counts, {rate});
+            const auto bytes = static_cast<double>(tellers * counts * parameters.m_bits) / 8;
+            EXPECT_LE(bytes / to_seconds(parameters.m_interval), static_cast<double>(rate) / 2 + 1);
         }
     }
 }
 
-// Guards against overloading the hosts that may coordinate while none does: there are no relays
-// then, and requests to the upstreams of those hosts arrived seconds late.
+// Guards against overloading the hosts that may coordinate while none does. No relays are in use
+// then, and requests to the upstreams on those hosts arrived seconds late.
 TEST(count_pace, ranks_without_a_coordinator_leave_half_of_the_link_to_other_messages)
 {
     constexpr std::size_t ranks = 129;
@@ -319,13 +319,13 @@
         *envelope.mutable_group()->mutable_counts() = message;
         return ranks * envelope.ByteSizeLong() / to_seconds(interval);
     };
-    const auto sign = sign_of_life(rank_id(7), counted, holding, 1.0);
-    EXPECT_LE(load(sign, pace_of(ranks, 0, link).m_interval), link.m_count / 2);
-    // What relays tell, told by each rank, would not go through.
+    const auto alive = liveness_report(rank_id(7), counted, holding, 1.0);
+    EXPECT_LE(load(alive, pace_of(ranks, 0, link).m_interval), link.m_count / 2);
+    // Full reports from every rank, at the rate meant for relays, would exceed the link.
     const auto relayed = pace_of(group::tellers(ranks), counts, link);
-    told_counts told;
-    const auto whole = to_wire(rank_id(7), counted, holding, 1.0, relayed.m_bits, told);
-    EXPECT_GT(load(whole, relayed.m_interval), 2 * link.m_count);
+    told_counts reported;
+    const auto complete = to_wire(rank_id(7), counted, holding, 1.0, relayed.m_bits, reported);
+    EXPECT_GT(load(complete, relayed.m_interval), 2 * link.m_count);
 }
 
 TEST(count_wire, bytes_that_fit_no_counts_add_nothing)
@@ -404,16 +404,16 @@
     options.m_ranks = 3;
     auto coordinator = group_map::make_coordinator(options);
     const time_point now{std::chrono::seconds(5)};
-    const auto patience = std::chrono::milliseconds(300);
-    EXPECT_TRUE(group_map::late_ranks(coordinator, patience, now).empty());
+    const auto timeout = std::chrono::milliseconds(300);
+    EXPECT_TRUE(group_map::late_ranks(coordinator, timeout, now).empty());
     group_map::activate(coordinator, 0, now);
-    EXPECT_TRUE(group_map::late_ranks(coordinator, patience, now).empty());
-    EXPECT_EQ(group_map::late_ranks(coordinator, patience, now + patience).size(), 3U);
+    EXPECT_TRUE(group_map::late_ranks(coordinator, timeout, now).empty());
+    EXPECT_EQ(group_map::late_ranks(coordinator, timeout, now + timeout).size(), 3U);
 }
 
-// A rank whose packets were lost held up a round for more than a second. The next ranks, which had
-// answered, heard nothing meanwhile and took over; the deposed coordinator took over again; no map
-// changed for five seconds.
+// Guards against needless takeovers. A rank whose packets were lost delayed a round for more than a
+// second. The next ranks had answered, received nothing meanwhile and took over, then the deposed
+// coordinator took over again, and no map changed for five seconds.
 TEST(coordinator, shows_those_who_would_step_in_that_it_waits_for_another_rank)
 {
     group_map::coordinator_options options;
@@ -430,19 +430,19 @@
         answer.m_life = {incarnation(1), incarnation(1)};
         group_map::receive(coordinator, answer, begin);
     }
-    std::map<std::uint32_t, time_point> heard;
+    std::map<std::uint32_t, time_point> last_commands;
     for (auto now = begin; now < begin + std::chrono::seconds(3);
          now += std::chrono::milliseconds(20)) {
         for (const auto& command : group_map::tick(coordinator, now).m_commands) {
-            heard[command.m_to.value()] = now;
+            last_commands[command.m_to.value()] = now;
         }
         for (const std::uint32_t candidate : {1, 2}) {
-            const auto last = heard.contains(candidate) ? heard[candidate] : begin;
+            const auto last = last_commands.contains(candidate) ? last_commands[candidate] : begin;
             ASSERT_LE(now - last, std::chrono::milliseconds(220)) << "rank " << candidate;
         }
-        ASSERT_FALSE(heard.contains(3)) << "it has answered and steps in for nobody";
+        ASSERT_FALSE(last_commands.contains(3)) << "it has answered and takes over from nobody";
     }
-    EXPECT_TRUE(heard.contains(4));
+    EXPECT_TRUE(last_commands.contains(4));
 }
 
 }  // namespace
@@ -466,7 +466,7 @@
     return time_point(std::chrono::milliseconds(ms));
 }
 
-/// What one rank tells: its choices since the last telling, in `steps` steps.
+/// The report of one rank: its choices since the last report, made in `steps` steps.
 count_sample sample(std::uint32_t rank, std::uint64_t step, std::uint64_t steps,
                     std::vector<std::uint64_t> counts, std::vector<std::uint32_t> held, int ms)
 {
@@ -490,35 +490,35 @@
     EXPECT_TRUE(note(book, sample(1, 10, 0, {0, 0, 0, 0}, {1, 3}, 0), at_ms(0)));
     EXPECT_FALSE(take_observation(book, at_ms(0))) << "nothing to compare with";
     note(book, sample(0, 20, 10, {10, 0, 0, 0}, {0, 2}, 100), at_ms(100));
-    EXPECT_FALSE(take_observation(book, at_ms(100))) << "half of the news";
+    EXPECT_FALSE(take_observation(book, at_ms(100))) << "only one of two ranks has reported";
     note(book, sample(1, 20, 10, {10, 30, 0, 0}, {1, 3}, 100), at_ms(100));
     const auto seen = take_observation(book, at_ms(100));
     ASSERT_TRUE(seen);
     EXPECT_EQ(seen->m_steps, 10.0);
     EXPECT_EQ(seen->m_span, std::chrono::milliseconds(100));
-    // The last one stands for the empty places.
+    // The last entry stands for the empty slots.
     EXPECT_EQ(seen->m_tokens_per_step.at(0), (layer_counts{2.0, 3.0, 0.0, 0.0, 0.0}));
 }
 
 TEST(rank_book, a_relayed_sum_is_worth_what_its_ranks_told_one_by_one)
 {
     auto book = make_rank_book(shape());
-    auto both = sample(0, 10, 0, {0, 0, 0, 0}, {0, 2}, 0);
-    both.m_ranks.push_back(sample(1, 10, 0, {0, 0, 0, 0}, {1, 3}, 0).m_ranks.front());
-    note(book, both, at_ms(0));
+    auto relayed_sum = sample(0, 10, 0, {0, 0, 0, 0}, {0, 2}, 0);
+    relayed_sum.m_ranks.push_back(sample(1, 10, 0, {0, 0, 0, 0}, {1, 3}, 0).m_ranks.front());
+    note(book, relayed_sum, at_ms(0));
     EXPECT_FALSE(take_observation(book, at_ms(0))) << "nothing to compare with";
-    for (auto& [rank, state] : both.m_ranks) {
+    for (auto& [rank, state] : relayed_sum.m_ranks) {
         state.m_step = 20;
     }
-    both.m_counts = {20, 30, 0, 0};
-    both.m_steps = 20;
-    note(book, both, at_ms(100));
+    relayed_sum.m_counts = {20, 30, 0, 0};
+    relayed_sum.m_steps = 20;
+    note(book, relayed_sum, at_ms(100));
     const auto seen = take_observation(book, at_ms(100));
     ASSERT_TRUE(seen);
     EXPECT_EQ(seen->m_tokens_per_step.at(0), (layer_counts{2.0, 3.0, 0.0, 0.0, 0.0}));
 }
 
-// One late rank of 129 stopped all planning, without a word.
+// Guards against one late rank of 129 stopping all planning without any log message.
 TEST(rank_book, a_late_rank_is_stood_in_for_by_the_counts_of_the_others)
 {
     auto wide = shape();
@@ -531,7 +531,7 @@
     for (std::uint32_t rank = 0; rank < 3; ++rank) {
         note(book, sample(rank, 20, 10, {30, 0, 0, 0}, {rank}, 200), at_ms(200));
     }
-    EXPECT_FALSE(take_observation(book, at_ms(200))) << "the last one may come yet";
+    EXPECT_FALSE(take_observation(book, at_ms(200))) << "the last report may still arrive";
     EXPECT_EQ(silent_ranks(book), std::vector<rank_id>{rank_id(3)});
     const auto seen = take_observation(book, at_ms(700));
     ASSERT_TRUE(seen);
@@ -560,7 +560,7 @@
     auto newer = sample(1, 1, 0, {0, 0, 0, 0}, {1, 3}, 0);
     newer.m_ranks.front().second.m_map = 8;
     note(book, newer, at_ms(0));
-    EXPECT_FALSE(map_in_force(book)) << "two maps at once are none";
+    EXPECT_FALSE(map_in_force(book)) << "the ranks use different maps";
 }
 
 TEST(rank_book, a_group_that_forms_anew_is_told_of_from_its_beginning)
@@ -572,7 +572,8 @@
     note(book, newer, at_ms(10));
     EXPECT_EQ(silent_ranks(book), std::vector<rank_id>{rank_id(0)});
     EXPECT_TRUE(note(book, sample(0, 9, 5, {7, 0, 0, 0}, {0, 2}, 20), at_ms(20)));
-    EXPECT_EQ(silent_ranks(book), std::vector<rank_id>{rank_id(0)}) << "it told of the old one";
+    EXPECT_EQ(silent_ranks(book), std::vector<rank_id>{rank_id(0)})
+        << "it reported the old formation";
     EXPECT_EQ(book.m_counts.front(), 0U);
 }
 
