--- a/dewbeam/src/group/content_codec.cpp
+++ b/dewbeam/src/group/content_codec.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// The map in force, the one before it, and proposals that came to nothing.
+/// The map in force, the one before it, and proposals that were not put in force.
 constexpr std::size_t most_known = 4;
-/// Longer than any map of a group: 256 ranks of 64 layers with 4 experts each.
+/// In bytes; longer than any map of a group with 256 ranks of 64 layers with 4 experts each.
 constexpr std::size_t longest_content = 1 << 20;
 
 }  // namespace
@@ -42,7 +42,8 @@
         const group_map::map_id base{from.base().number(), fingerprint(from.base().content())};
         const auto dictionary = from.has_base() ? find(base) : nullptr;
         if (from.has_base() && !dictionary) {
-            return absl::NotFoundError("packed with a map that is not known here");
+            return absl::NotFoundError(
+                "content was packed with a base map that this agent doesn't know");
         }
         auto content = inflate_text(from.packed_content(), longest_content, dictionary.get());
         if (!content.ok()) {
--- a/dewbeam/src/group/content_codec.h
+++ b/dewbeam/src/group/content_codec.h
@@ -1,9 +1,8 @@
 /// \file
-/// The content of expert maps on its way to the ranks, packed.
+/// Compression of expert map content sent to the ranks.
 ///
-/// Two maps that follow each other differ in few places, so content is compressed with the content
-/// of the map in force as a dictionary. The ranks know that one: they were told it when it was
-/// staged.
+/// Successive maps differ in few places, so content is compressed with the content of the map in
+/// force as a dictionary. The ranks know that content, which they received when it was staged.
 ///
 /// \code
 /// codec.pack(command, settled, *message.mutable_command());       // at the coordinator
@@ -20,27 +19,27 @@
 
 namespace dewbeam::group {
 
-/// What one agent knows of maps' contents. Not thread-safe.
+/// Codec of one agent, with the map contents that it remembers. Not thread-safe.
 class content_codec {
 public:
-    /// Packs the content of a `stage` command: with the content of `base` as dictionary where this
-    /// agent knows it and the command is no repeat, else by itself.
+    /// Packs the content of a `stage` command, with the content of `base` as dictionary if this
+    /// agent knows it and the command is not a repeat, otherwise without a dictionary.
     void pack(const group_map::command& from, const group_map::map_id& base,
               wire::GroupCommand& to);
 
-    /// Sets the content of a command that was read from `from`, and remembers it; nothing to do
-    /// where it came as it is. An error where it was packed with a map that is not known here, or
-    /// damaged: the repeat of the command will have it whole.
+    /// Sets and remembers the content of a command that was read from `from`. Content that was sent
+    /// unpacked is only remembered. Returns an error if the content was packed with an unknown map
+    /// or is damaged; the repeat of the command will contain it without a dictionary.
     absl::Status unpack(const wire::GroupCommand& from, group_map::command& to);
 
 private:
     void remember(const group_map::map_id& map, const group_map::map_content& content);
     [[nodiscard]] group_map::map_content find(const group_map::map_id& map) const;
 
-    std::deque<std::pair<group_map::map_id, group_map::map_content>> m_known;  ///< latest last
-    group_map::map_content m_packed_from;  ///< what `m_packed` was made from ...
-    group_map::map_content m_packed_with;  ///< ... and with
-    std::string m_packed;                  ///< the same bytes go to every rank
+    std::deque<std::pair<group_map::map_id, group_map::map_content>> m_known;  ///< oldest first
+    group_map::map_content m_packed_from;  ///< content in `m_packed`
+    group_map::map_content m_packed_with;  ///< dictionary used for `m_packed`
+    std::string m_packed;                  ///< cached, since every rank gets the same bytes
 };
 
 }  // namespace dewbeam::group
--- a/dewbeam/src/group/courier.cpp
+++ b/dewbeam/src/group/courier.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// One host can speak to so many others several times a second.
+/// One host can exchange messages with this many others several times a second.
 constexpr std::uint32_t most_ranks_without_relays = 32;
-/// Each new try of a lost relay costs its block the time until the repeat.
-constexpr time_span unused_span = std::chrono::seconds(5);
+/// Each retry of a lost relay delays its block until the commands are repeated.
+constexpr time_span lost_relay_retry_delay = std::chrono::seconds(5);
 
 struct block {
     std::uint32_t m_first = 0;
@@ -26,25 +26,25 @@
     return {first, std::min(ranks, first + size)};
 }
 
-/// A relay is lost that owes its own answer, or those of most of its block.
-void note_unanswered(courier& state, const std::vector<outgoing_command>& commands, deliveries& out,
-                     time_point now)
+/// Marks a relay as lost if its own answer or those of most of its block are missing.
+void mark_lost_relays(courier& state, const std::vector<outgoing_command>& commands,
+                      deliveries& out, time_point now)
 {
     std::map<std::uint32_t, std::uint32_t> missing;  // by relay
-    std::set<std::uint32_t> silent;
+    std::set<std::uint32_t> unresponsive;
     for (const auto& item : commands) {
         const rank_id rank(item.m_message.to_rank());
         const bool is_owed = item.m_is_repeat && !item.m_is_sign_of_life;
         const auto relay = is_owed ? relay_of(state, rank, now) : std::nullopt;
         if (relay) {
             ++missing[relay->value()];
-            silent.insert(rank.value());
+            unresponsive.insert(rank.value());
         }
     }
     for (const auto& [relay, count] : missing) {
-        const auto around = block_of(state.m_ranks, rank_id(relay));
-        if (silent.contains(relay) || 2 * count > around.m_end - around.m_first) {
-            state.m_unused_until[relay] = now + unused_span;
+        const auto own_block = block_of(state.m_ranks, rank_id(relay));
+        if (unresponsive.contains(relay) || 2 * count > own_block.m_end - own_block.m_first) {
+            state.m_relay_unused_until[relay] = now + lost_relay_retry_delay;
             out.m_lost_relays.emplace_back(relay);
         }
     }
@@ -63,7 +63,7 @@
     *bundle.add_messages() = std::move(message);
 }
 
-/// A message of a bundle, as it would have come by itself.
+/// A message of a bundle in the form in which it would have been sent individually.
 wire::GroupMessage unbundle(const courier& state, const wire::GroupBundle& bundle,
                             const wire::GroupMessage& item)
 {
@@ -80,29 +80,29 @@
 
 void send_gathered(courier& state, deliveries& out)
 {
-    if (state.m_gathered.messages().empty()) {
+    if (state.m_gathered_reports.messages().empty()) {
         return;
     }
-    auto bundle = std::exchange(state.m_gathered, {});
+    auto bundle = std::exchange(state.m_gathered_reports, {});
     bundle.set_group(state.m_group);
-    out.m_parcels.push_back({state.m_gathered_for, std::move(bundle)});
+    out.m_parcels.push_back({state.m_gathered_coordinator, std::move(bundle)});
 }
 
 void gather(courier& state, wire::GroupMessage report, deliveries& out)
 {
     const rank_id coordinator(report.to_rank());
-    if (coordinator != state.m_gathered_for) {
+    if (coordinator != state.m_gathered_coordinator) {
         send_gathered(state, out);
-        state.m_gathered_for = coordinator;
+        state.m_gathered_coordinator = coordinator;
     }
     state.m_awaited.erase(report.from_rank());
-    add(state.m_gathered, std::move(report));
+    add(state.m_gathered_reports, std::move(report));
     if (state.m_awaited.empty()) {
         send_gathered(state, out);
     }
 }
 
-void take_command(courier& state, wire::GroupMessage message, deliveries& out)
+void accept_command(courier& state, wire::GroupMessage message, deliveries& out)
 {
     state.m_reports_through =
         message.has_relay() ? std::optional(rank_id(message.relay())) : std::nullopt;
@@ -117,7 +117,7 @@
     result.m_group = std::move(group);
     result.m_self = self;
     result.m_ranks = ranks;
-    result.m_unused_until.resize(ranks);
+    result.m_relay_unused_until.resize(ranks);
     return result;
 }
 
@@ -140,10 +140,10 @@
 
 std::uint32_t block_followers(std::uint32_t ranks, rank_id rank, rank_id coordinator)
 {
-    const auto around = block_of(ranks, rank);
+    const auto own_block = block_of(ranks, rank);
     const bool has_coordinator =
-        coordinator.value() >= around.m_first && coordinator.value() < around.m_end;
-    return around.m_end - around.m_first - (has_coordinator ? 1 : 0);
+        coordinator.value() >= own_block.m_first && coordinator.value() < own_block.m_end;
+    return own_block.m_end - own_block.m_first - (has_coordinator ? 1 : 0);
 }
 
 std::optional<rank_id> relay_of(const courier& state, rank_id rank, time_point now)
@@ -151,12 +151,12 @@
     if (state.m_ranks <= most_ranks_without_relays) {
         return std::nullopt;
     }
-    const auto around = block_of(state.m_ranks, rank);
-    const auto size = around.m_end - around.m_first;
+    const auto own_block = block_of(state.m_ranks, rank);
+    const auto size = own_block.m_end - own_block.m_first;
     for (std::uint32_t i = 0; i < size; ++i) {
-        const auto candidate = around.m_first + (state.m_turn + i) % size;
-        // The coordinator leaves its own block to another rank: it has more to do than any other.
-        if (rank_id(candidate) != state.m_self && state.m_unused_until[candidate] <= now) {
+        const auto candidate = own_block.m_first + (state.m_relay_offset + i) % size;
+        // The coordinator doesn't relay for its own block, since it has the highest load already.
+        if (rank_id(candidate) != state.m_self && state.m_relay_unused_until[candidate] <= now) {
             return rank_id(candidate);
         }
     }
@@ -166,21 +166,21 @@
 deliveries send_commands(courier& state, std::vector<outgoing_command> commands, time_point now)
 {
     deliveries result;
-    // Where most ranks are missing, their agents are still starting, their engines stand still or
-    // this host can't be heard. That says nothing of one relay, and to call each rank by itself
-    // again and again would only keep this host busy: other ranks try as relays.
+    // If most ranks are missing, their agents are still starting, their engines are stalled or this
+    // host can't reach them. This doesn't show that any one relay is lost, and repeated messages to
+    // each rank directly would only load this host. Other ranks are tried as relays instead.
     const bool are_few = commands.size() <= std::size_t{2} * block_size(state.m_ranks);
     if (are_few) {
-        note_unanswered(state, commands, result, now);
+        mark_lost_relays(state, commands, result, now);
     }
     else if (commands.back().m_is_repeat) {
-        ++state.m_turn;
+        ++state.m_relay_offset;
     }
     std::map<rank_id, wire::GroupBundle> bundles;
     for (auto& item : commands) {
         const rank_id rank(item.m_message.to_rank());
-        const bool goes_straight = rank == state.m_self || (item.m_is_repeat && are_few);
-        const auto relay = goes_straight ? std::nullopt : relay_of(state, rank, now);
+        const bool is_direct = rank == state.m_self || (item.m_is_repeat && are_few);
+        const auto relay = is_direct ? std::nullopt : relay_of(state, rank, now);
         if (relay) {
             add(bundles[*relay], std::move(item.m_message));
         }
@@ -219,7 +219,7 @@
         }
     }
     else if (message.has_command()) {
-        take_command(state, std::move(message), result);
+        accept_command(state, std::move(message), result);
     }
     else {
         result.m_own.push_back(std::move(message));
--- a/dewbeam/src/group/courier.h
+++ b/dewbeam/src/group/courier.h
@@ -1,14 +1,14 @@
 /// \file
-/// The ways of messages inside a lock-step group, through relays where it is large.
+/// Message routing inside a lock-step group, through relays if the group is large.
 ///
-/// Ranks are dealt into blocks of about the square root of their number. The coordinator sends the
-/// commands for a block as one bundle to the block's relay, which passes them on and gathers the
-/// reports: one host's link and processor carry a message for each block in place of one for each
-/// rank. A relay may be lost with all that it holds. Whatever stays unanswered is repeated, and
-/// repeats go straight to their ranks.
+/// Ranks are divided into blocks whose size is about the square root of their number. The
+/// coordinator sends the commands for a block as one bundle to the block's relay, which forwards
+/// them and gathers the reports. The coordinator's link and processor thus handle one message per
+/// block instead of one per rank. A relay may be lost with all that it holds: unanswered commands
+/// are repeated, and repeats go directly to their ranks, unless most ranks are missing.
 ///
 /// \code
-/// for (const auto& item : group::send_commands(way, std::move(commands), now).m_parcels) {
+/// for (const auto& item : group::send_commands(router, std::move(commands), now).m_outgoing) {
 ///     node.send(members[item.m_to.value()], to_envelope(item));
 /// }
 /// \endcode
@@ -25,67 +25,67 @@
 
 namespace dewbeam::group {
 
-/// Something to send over the link.
-struct parcel {
+/// A message or bundle to send over the link, and its receiver.
+struct addressed_message {
     rank_id m_to;
     std::variant<wire::GroupMessage, wire::GroupBundle> m_body;
 };
 
-/// What comes of a step of the courier.
+/// Result of a step of the group router.
 struct deliveries {
     std::vector<wire::GroupMessage> m_own;  ///< for this rank
-    std::vector<parcel> m_parcels;
-    std::vector<rank_id> m_lost_relays;  ///< that are not used for a while
+    std::vector<addressed_message> m_parcels;
+    std::vector<rank_id> m_lost_relays;  ///< newly lost; not used for a while
 };
 
-/// A command and whether it was sent before.
+/// A command of the coordinator.
 struct outgoing_command {
     wire::GroupMessage m_message;
-    bool m_is_repeat = false;
-    bool m_is_sign_of_life = false;  ///< the rank has answered before
+    bool m_is_repeat = false;        ///< it was sent before
+    bool m_is_sign_of_life = false;  ///< the rank has answered; only shows who coordinates
 };
 
-/// State of one rank's courier.
+/// State of one rank's group router.
 struct courier {
     std::string m_group;
     rank_id m_self;
     std::uint32_t m_ranks = 0;
-    /// At the coordinator, by rank: a relay that left its block unanswered isn't used before.
-    std::vector<time_point> m_unused_until;
-    std::uint32_t m_turn = 0;  ///< at the coordinator: which ranks of the blocks are relays
-    /// Where reports go: to the relay that passed the last command on; none: to the coordinator.
+    /// At the coordinator, by rank: a lost relay isn't used before this time.
+    std::vector<time_point> m_relay_unused_until;
+    std::uint32_t m_relay_offset = 0;  ///< at the coordinator: preferred relay in each block
+    /// Receiver of reports: the relay that forwarded the last command; none: the coordinator.
     std::optional<rank_id> m_reports_through;
-    std::set<std::uint32_t> m_awaited;  ///< at a relay: ranks whose reports have not come
-    wire::GroupBundle m_gathered;       ///< at a relay: reports to be sent
-    rank_id m_gathered_for;             ///< the coordinator
+    std::set<std::uint32_t> m_awaited;     ///< at a relay: ranks whose reports are missing
+    wire::GroupBundle m_gathered_reports;  ///< at a relay: reports to be forwarded
+    rank_id m_gathered_coordinator;        ///< receiver of the gathered reports
 };
 
-/// A courier of a process that starts.
+/// The initial state of a router.
 courier make_courier(std::string group, rank_id self, std::uint32_t ranks);
 
-/// How many ranks a block has; all of them where the group needs no relays.
+/// The number of ranks in a block; all of them if the group needs no relays.
 std::uint32_t block_size(std::uint32_t ranks);
 
-/// How many ranks or relays speak to the coordinator.
+/// The number of ranks or relays that report to the coordinator.
 std::uint32_t tellers(std::uint32_t ranks);
 
-/// How many ranks of `rank`'s block are not the coordinator.
+/// The number of ranks in `rank`'s block other than the coordinator.
 std::uint32_t block_followers(std::uint32_t ranks, rank_id rank, rank_id coordinator);
 
-/// The relay to which the coordinator gives commands for a rank; none: straight to the rank.
+/// The relay for the coordinator's commands to a rank; none: they go directly to the rank.
 std::optional<rank_id> relay_of(const courier& state, rank_id rank, time_point now);
 
-/// Commands of the coordinator's.
+/// Routes commands of the coordinator.
 deliveries send_commands(courier& state, std::vector<outgoing_command> commands, time_point now);
 
-/// A report of this rank's.
+/// Routes a report of this rank.
 deliveries send_report(courier& state, wire::GroupMessage report);
 
-/// Something arrived.
+/// Handles a received message or bundle.
 deliveries take(courier& state, wire::GroupMessage message);
 deliveries take(courier& state, const wire::GroupBundle& bundle);
 
-/// Time passed: what was gathered goes out, though some reports are missing.
+/// Sends the gathered reports, even if some are missing. Called periodically.
 deliveries flush(courier& state);
 
 }  // namespace dewbeam::group
--- a/dewbeam/src/group/engine_port.h
+++ b/dewbeam/src/group/engine_port.h
@@ -1,5 +1,5 @@
 /// \file
-/// The way from a rank's agent to its engine, for orders about the expert map.
+/// Interface through which a rank's agent sends its engine orders about the expert map.
 #pragma once
 
 #include <absl/status/statusor.h>
@@ -11,11 +11,10 @@
 
 namespace dewbeam::group {
 
-/// Called once with the engine's answer, or with an error where none came.
+/// Called once with the engine's answer, or with an error if there was none.
 using order_done = std::function<void(const absl::StatusOr<group_map::engine_answer>& answer)>;
 
-/// One engine. An order is an exchange of seconds at most, so a virtual call costs nothing that
-/// counts.
+/// One engine. An order takes up to seconds, so the cost of a virtual call doesn't matter.
 class engine_port {
 public:
     engine_port() = default;
@@ -28,7 +27,7 @@
     /// Sends an order.
     virtual void send(const group_map::engine_order& order, order_done done) = 0;
 
-    /// Breaks off what is under way: its connection is closed and its answer no longer waited for.
+    /// Cancels the order in progress: closes its connection and no longer waits for its answer.
     virtual void cancel() = 0;
 };
 
--- a/dewbeam/src/group/group_runner.cpp
+++ b/dewbeam/src/group/group_runner.cpp
@@ -10,14 +10,16 @@
 
 namespace {
 
-/// Only so many ranks, as a part of the group, may owe an answer by their own fault. A coordinator
-/// that has just started must not stand in for all others, whose agents obey another one meanwhile.
+/// If more than one in this many ranks is late, and at least two are, the cause is taken to be this
+/// host. A coordinator that has just started must not substitute for all other ranks, whose
+/// agents may obey another coordinator meanwhile.
 constexpr std::size_t most_late_divisor = 3;
 
-/// A group that waits for a rank for so long says so, and says it again each time it has passed.
+/// If the group waits for a rank for this long, a warning is logged; it is repeated at this
+/// interval.
 constexpr time_span missing_log_interval = std::chrono::seconds(5);
 
-/// How long a change took, stage by stage; a stage that it didn't reach is left out.
+/// Logs the duration of a change by stage. Stages are left out if the change didn't reach them all.
 void log_change(const group_map::ended_change& change)
 {
     const auto& times = change.m_times;
@@ -51,7 +53,7 @@
     participant.m_incarnation = own;
     participant.m_first_order = fencing_number(own.value());
     participant.m_checks_fencing = checks_fencing;
-    participant.m_silence_limit *= rank.value() + 1;  // one after the other steps in
+    participant.m_silence_limit *= rank.value() + 1;  // ranks take over one after the other
     options.m_coordinator.m_rank = rank;
     options.m_coordinator.m_incarnation = own;
     options.m_coordinator.m_ranks = static_cast<std::uint32_t>(options.m_members.size());
@@ -62,7 +64,7 @@
                            std::shared_ptr<engine_port> orders, time_point now)
     : m_options(options),
       m_hooks(std::move(hooks)),
-      m_orders(std::move(orders)),
+      m_order_port(std::move(orders)),
       m_participant(group_map::start_participant(options.m_participant, now)),
       m_coordinator(group_map::make_coordinator(options.m_coordinator)),
       m_courier(make_courier(options.m_group, options.m_participant.m_rank,
@@ -86,16 +88,16 @@
 
 void group_runner::on_message(const wire::GroupMessage& message, time_point now)
 {
-    take_arrived(message, now);
+    receive_arrived(message, now);
 }
 
 void group_runner::on_bundle(const wire::GroupBundle& bundle, time_point now)
 {
-    take_arrived(bundle, now);
+    receive_arrived(bundle, now);
 }
 
 template <class Body>
-void group_runner::take_arrived(const Body& arrived, time_point now)
+void group_runner::receive_arrived(const Body& arrived, time_point now)
 {
     work todo;
     {
@@ -117,9 +119,9 @@
         if (m_is_stopped || m_node == nullptr) {
             return;
         }
-        note_held_up(now);
+        exclude_loop_delay(now);
         collect(group_map::tick(m_participant, now), m_options.m_participant.m_rank, todo);
-        for (auto& [rank, item] : m_stand_ins) {
+        for (auto& [rank, item] : m_substitutes) {
             collect(group_map::tick(item.m_participant, now), rank, todo);
         }
         const bool may_coordinate =
@@ -129,43 +131,43 @@
             collect(group_map::activate(m_coordinator, m_participant.m_promised.m_number, now),
                     todo, now);
         }
-        stand_in_for_late_ranks(todo, now);
-        end_stand_ins(todo, now);
+        substitute_late_ranks(todo, now);
+        end_substitutions(todo, now);
         collect(group_map::tick(m_coordinator, now), todo, now);
-        watch_missing_ranks(now);
+        log_missing_ranks(now);
         post(flush(m_courier));
         todo = finish(std::move(todo), now);
     }
     carry_out(todo);
 }
 
-/// Others are not judged by the time for which this process read nothing.
-void group_runner::note_held_up(time_point now)
+/// Excludes this process's loop delay from the timeouts of others, since it read no messages then.
+void group_runner::exclude_loop_delay(time_point now)
 {
     const auto held_up = take_growth(m_link_held_up, m_node->held_up());
     if (held_up == time_span::zero()) {
         return;
     }
     group_map::put_off_silence(m_participant, held_up, now);
-    m_stand_in_from = now + m_options.m_patience;
+    m_substitute_not_before = now + m_options.m_late_answer_timeout;
 }
 
-/// Names the ranks without which the group makes no step: their agents may not have started.
-void group_runner::watch_missing_ranks(time_point now)
+/// Logs the ranks that the group is waiting for: their agents may not have started.
+void group_runner::log_missing_ranks(time_point now)
 {
     const auto missing = group_map::late_ranks(m_coordinator, missing_log_interval, now);
     if (missing.empty()) {
-        if (m_has_logged_missing && m_coordinator.m_phase == group_map::phase::settled) {
-            m_has_logged_missing = false;
+        if (m_has_logged_missing_ranks && m_coordinator.m_phase == group_map::phase::settled) {
+            m_has_logged_missing_ranks = false;
             log_event(log_level::info, "group_complete", {{"group", m_options.m_group}});
         }
         return;
     }
-    if (now < m_log_missing_at) {
+    if (now < m_next_missing_ranks_log) {
         return;
     }
-    m_log_missing_at = now + missing_log_interval;
-    m_has_logged_missing = true;
+    m_next_missing_ranks_log = now + missing_log_interval;
+    m_has_logged_missing_ranks = true;
     for (const auto rank : missing) {
         log_event(log_level::warning, "group_waits",
                   {{"group", m_options.m_group},
@@ -178,18 +180,18 @@
 bool group_runner::propose(const std::string& content, time_point now)
 {
     work todo;
-    bool taken = false;
+    bool accepted = false;
     {
         const std::lock_guard lock(m_mutex);
         group_map::coordinator_effects effects;
-        taken = !m_is_stopped &&
-                group_map::propose(m_coordinator, std::make_shared<const std::string>(content), now,
-                                   effects);
+        accepted = !m_is_stopped &&
+                   group_map::propose(m_coordinator, std::make_shared<const std::string>(content),
+                                      now, effects);
         collect(effects, todo, now);
         todo = finish(std::move(todo), now);
     }
     carry_out(todo);
-    return taken;
+    return accepted;
 }
 
 group_map::phase group_runner::current_phase() const
@@ -232,28 +234,29 @@
     m_is_stopped = true;
 }
 
-void group_runner::note_alive(rank_id rank, time_point now)
+void group_runner::record_alive(rank_id rank, time_point now)
 {
     const std::lock_guard lock(m_mutex);
-    const auto place = m_stand_ins.find(rank);
-    // What was on its way when it was given up says nothing.
-    if (place != m_stand_ins.end() && place->second.m_since + m_options.m_patience < now) {
+    const auto place = m_substitutes.find(rank);
+    // A message that was in transit when the substitution started is no sign of a running agent.
+    if (place != m_substitutes.end() &&
+        place->second.m_since + m_options.m_late_answer_timeout < now) {
         m_alive.insert(rank);
     }
 }
 
-/// Acts for ranks whose agents owe an answer.
-void group_runner::stand_in_for_late_ranks(work& todo, time_point now)
+/// Substitutes for ranks whose agents' answers are overdue.
+void group_runner::substitute_late_ranks(work& todo, time_point now)
 {
-    if (!m_options.m_make_port || now < m_stand_in_from) {
+    if (!m_options.m_make_port || now < m_substitute_not_before) {
         return;
     }
-    const auto late = group_map::late_ranks(m_coordinator, m_options.m_patience, now);
+    const auto late = group_map::late_ranks(m_coordinator, m_options.m_late_answer_timeout, now);
     if (late.size() > std::max<std::size_t>(1, m_options.m_members.size() / most_late_divisor)) {
-        return;  // this host is the one that can't be heard, or has just started
+        return;  // this host is unreachable or has just started
     }
     for (const auto rank : late) {
-        if (rank == m_options.m_participant.m_rank || m_stand_ins.contains(rank)) {
+        if (rank == m_options.m_participant.m_rank || m_substitutes.contains(rank)) {
             continue;
         }
         auto port = m_options.m_make_port(rank);
@@ -262,34 +265,36 @@
         }
         auto options = m_options.m_participant;
         options.m_rank = rank;
-        // A later life than the agent's, and orders above its own: it began earlier than now.
+        // The substitute has a later incarnation and higher fencing numbers than the agent, which
+        // started earlier.
         const auto& known = m_coordinator.m_ranks[rank.value()].m_life;
-        const auto least = known ? known->m_agent.value() + 1 : 0;
-        options.m_incarnation = incarnation(std::max(program::new_incarnation().value(), least));
+        const auto min_incarnation = known ? known->m_agent.value() + 1 : 0;
+        options.m_incarnation =
+            incarnation(std::max(program::new_incarnation().value(), min_incarnation));
         options.m_first_order = fencing_number(options.m_incarnation.value());
-        auto& added = m_stand_ins[rank];
+        auto& added = m_substitutes[rank];
         added.m_port = std::move(port);
         added.m_participant = group_map::start_participant(options, now);
         added.m_since = now;
-        m_courier.m_unused_until[rank.value()] = no_deadline;
+        m_courier.m_relay_unused_until[rank.value()] = no_deadline;
         log_event(log_level::warning, "rank_stood_in_for",
                   {{"group", m_options.m_group}, {"rank", rank.value()}});
         collect(group_map::tick(added.m_participant, now), rank, todo);
     }
 }
 
-/// Leaves ranks to their own agents again, in a new epoch.
-void group_runner::end_stand_ins(work& todo, time_point now)
+/// Returns ranks to their own agents, in a new epoch.
+void group_runner::end_substitutions(work& todo, time_point now)
 {
     const bool coordinates = m_coordinator.m_phase != group_map::phase::inactive;
-    if (m_stand_ins.empty() ||
+    if (m_substitutes.empty() ||
         (coordinates && (m_alive.empty() || m_coordinator.m_phase != group_map::phase::settled))) {
         return;
     }
-    std::erase_if(m_stand_ins, [&](const auto& item) {
+    std::erase_if(m_substitutes, [&](const auto& item) {
         const bool is_over = !coordinates || m_alive.contains(item.first);
         if (is_over) {
-            m_courier.m_unused_until[item.first.value()] = {};
+            m_courier.m_relay_unused_until[item.first.value()] = {};
             log_event(log_level::info, "rank_left_to_its_agent", {{"rank", item.first.value()}});
         }
         return is_over;
@@ -304,8 +309,8 @@
 void group_runner::collect(const group_map::participant_effects& effects, rank_id rank, work& todo)
 {
     if (effects.m_close_connection || effects.m_order) {
-        const auto place = m_stand_ins.find(rank);
-        auto port = place == m_stand_ins.end() ? m_orders : place->second.m_port;
+        const auto place = m_substitutes.find(rank);
+        auto port = place == m_substitutes.end() ? m_order_port : place->second.m_port;
         todo.m_engines.push_back(
             {std::move(port), rank, effects.m_close_connection, effects.m_order});
     }
@@ -319,8 +324,8 @@
 {
     std::vector<outgoing_command> commands;
     for (const auto& message : effects.m_commands) {
-        if (m_stand_ins.contains(message.m_to)) {
-            m_own_messages.push_back(write_command(message));
+        if (m_substitutes.contains(message.m_to)) {
+            m_local_messages.push_back(write_command(message));
         }
         else {
             commands.push_back(
@@ -337,7 +342,7 @@
 {
     auto result = to_wire(m_options.m_group, m_options.m_participant.m_rank, message);
     if (message.m_content) {
-        // A rank that lacks what the first copy relied on gets the second one whole.
+        // Repeats are packed without a base map, for ranks that lack the base of the first copy.
         m_contents.pack(message, m_coordinator.m_settled, *result.mutable_command());
     }
     return result;
@@ -350,7 +355,7 @@
         post(send_report(m_courier, std::move(report)));
     }
     else {
-        m_own_messages.push_back(std::move(report));  // of a rank that this coordinator acts for
+        m_local_messages.push_back(std::move(report));  // of a substituted rank
     }
 }
 
@@ -367,14 +372,14 @@
     }
 }
 
-void group_runner::post(const parcel& item)
+void group_runner::post(const addressed_message& item)
 {
     if (item.m_to.value() >= m_options.m_members.size()) {
-        return;  // a rank that this group doesn't have
+        return;  // the group has no such rank
     }
     const auto* message = std::get_if<wire::GroupMessage>(&item.m_body);
     if (message != nullptr && item.m_to == m_options.m_participant.m_rank) {
-        m_own_messages.push_back(*message);
+        m_local_messages.push_back(*message);
         return;
     }
     wire::Envelope envelope;
@@ -404,11 +409,11 @@
                        {"reason", std::string(unpacked.message())}});
             return;
         }
-        const auto place = m_stand_ins.find(command->m_to);
+        const auto place = m_substitutes.find(command->m_to);
         if (command->m_to == m_options.m_participant.m_rank) {
             collect(group_map::receive(m_participant, *command, now), command->m_to, todo);
         }
-        else if (place != m_stand_ins.end()) {
+        else if (place != m_substitutes.end()) {
             collect(group_map::receive(place->second.m_participant, *command, now), command->m_to,
                     todo);
         }
@@ -418,18 +423,18 @@
     }
 }
 
-void group_runner::take_own_messages(work& todo, time_point now)
+void group_runner::handle_local_messages(work& todo, time_point now)
 {
-    while (!m_own_messages.empty()) {
-        const auto message = std::move(m_own_messages.front());
-        m_own_messages.pop_front();
+    while (!m_local_messages.empty()) {
+        const auto message = std::move(m_local_messages.front());
+        m_local_messages.pop_front();
         take(message, todo, now);
     }
 }
 
 group_runner::work group_runner::finish(work todo, time_point now)
 {
-    take_own_messages(todo, now);
+    handle_local_messages(todo, now);
     const bool may_admit = group_map::may_admit(m_participant);
     if (may_admit != m_may_admit) {
         m_may_admit = may_admit;
@@ -441,7 +446,7 @@
 void group_runner::carry_out(const work& todo)
 {
     if (todo.m_admission_changed && m_hooks.m_set_admission) {
-        // Whoever comes last tells what holds last.
+        // The value is read under the mutex, so that the last call passes the latest value.
         const std::lock_guard order(m_admission_mutex);
         m_hooks.m_set_admission(may_admit());
     }
@@ -462,7 +467,7 @@
     }
 }
 
-void group_runner::send_order(const engine_work& wanted)
+void group_runner::send_order(const engine_actions& wanted)
 {
     wanted.m_port->send(*wanted.m_order,
                         [weak = weak_from_this(), rank = wanted.m_rank](
@@ -473,7 +478,7 @@
                         });
 }
 
-/// An answer that is not whole or not readable counts as lost: the participant's deadline ends it.
+/// An incomplete or unreadable answer counts as lost: the participant's timeout ends the order.
 void group_runner::on_answer(rank_id rank, absl::StatusOr<group_map::engine_answer> answer)
 {
     if (!answer.ok()) {
@@ -489,11 +494,11 @@
             return;
         }
         const auto now = program::now();
-        const auto place = m_stand_ins.find(rank);
+        const auto place = m_substitutes.find(rank);
         if (rank == m_options.m_participant.m_rank) {
             collect(group_map::answered(m_participant, *answer, now), rank, todo);
         }
-        else if (place != m_stand_ins.end()) {
+        else if (place != m_substitutes.end()) {
             collect(group_map::answered(place->second.m_participant, *answer, now), rank, todo);
         }
         todo = finish(std::move(todo), now);
--- a/dewbeam/src/group/group_runner.h
+++ b/dewbeam/src/group/group_runner.h
@@ -1,5 +1,5 @@
 /// \file
-/// Runs the expert map protocol of one rank: messages over the link, orders over HTTP.
+/// Runs the expert map protocol for one rank: messages over the link, orders over HTTP.
 #pragma once
 
 #include <deque>
@@ -20,130 +20,131 @@
 
 namespace dewbeam::group {
 
-/// What a runner needs to know at start.
+/// Options of a runner.
 struct group_options {
-    std::string m_group;                 ///< its name; messages of another group are dropped
+    std::string m_group;                 ///< name; messages of other groups are dropped
     std::vector<std::string> m_members;  ///< link addresses by rank
     group_map::participant_options m_participant;
     group_map::coordinator_options m_coordinator;
     std::uint32_t m_candidates = 3;  ///< ranks that may coordinate: the first ones
-    /// Where engines take orders from any host: the coordinator's way to another rank's engine. It
-    /// stands in (where this gives a port: not while the group doesn't run) for a rank whose agent
-    /// owes an answer for longer than `m_patience`: a group that holds for a frozen agent would
-    /// stand still until that wakes.
+    /// Set if engines accept orders from any host: gives the coordinator a port to another rank's
+    /// engine, or none while the group isn't running. With it the coordinator substitutes for a
+    /// rank whose agent's answer is overdue by `m_late_answer_timeout`. Otherwise a group that
+    /// holds for a frozen agent would stall until that agent resumes.
     std::function<std::shared_ptr<engine_port>(rank_id)> m_make_port{};
-    time_span m_patience = std::chrono::milliseconds(300);
+    time_span m_late_answer_timeout = std::chrono::milliseconds(300);
 };
 
-/// Options of one rank. Incarnations and fencing numbers are the process's start time, so that
-/// later lives have larger ones.
+/// Options of one rank. Incarnations and first fencing numbers are the process's start time, so
+/// that later incarnations have larger ones.
 group_options make_group_options(std::string group, std::vector<std::string> members, rank_id rank,
                                  incarnation own, bool checks_fencing);
 
-/// A way to a rank.
+/// A route to a rank.
 struct route {
     rank_id m_to;
-    rank_id m_through;  ///< the rank that takes the message first: `m_to`, or a relay
+    rank_id m_through;  ///< next hop: `m_to` or a relay
 };
 
-/// The ways to all who must learn of a rank.
+/// The routes to all receivers of a rank's reports.
 struct coordinator_routes {
-    bool m_has_coordinator = false;  ///< one was heard of lately; else all that may coordinate
+    bool m_has_coordinator = false;  ///< in contact; otherwise all candidates are listed
     std::vector<route> m_routes;
 };
 
-/// What a runner asks of the agent around it; called without its lock.
+/// Callbacks to the agent that owns a runner; called without the runner's lock.
 struct group_hooks {
     std::function<void(bool may_admit)> m_set_admission;
     std::function<bool()> m_is_busy;  ///< whether the agent has unfinished requests
     std::function<void(const group_map::ended_change&)> m_on_change;
 };
 
-/// One rank's part of the protocol. Thread-safe.
+/// Runs one rank's part of the protocol. Thread-safe.
 class group_runner : public std::enable_shared_from_this<group_runner> {
 public:
-    /// `orders` leads to this rank's engine and is used for nothing else.
+    /// `orders` connects to this rank's engine and is used only by this runner.
     group_runner(const group_options& options, group_hooks hooks,
                  std::shared_ptr<engine_port> orders, time_point now);
 
-    /// Takes part from now on; `node` outlives the runner.
+    /// Starts taking part in the group. `node` must outlive the runner.
     void start(link::node& node, time_point now);
 
-    /// A message of the group arrived, or a bundle of them.
+    /// Handles a received message of the group, or a bundle of them.
     void on_message(const wire::GroupMessage& message, time_point now);
     void on_bundle(const wire::GroupBundle& bundle, time_point now);
 
-    /// Time passed.
+    /// Does the periodic work.
     void tick(time_point now);
 
-    /// Another rank's agent was heard: where this one stood in for it, that ends.
-    void note_alive(rank_id rank, time_point now);
+    /// Records contact with another rank's agent, which ends a substitution for it.
+    void record_alive(rank_id rank, time_point now);
 
-    /// Starts a change where this rank coordinates a settled group; whether it did.
+    /// Starts a change if this rank coordinates a settled group; returns whether it did.
     bool propose(const std::string& content, time_point now);
 
-    /// What this rank's coordinator does, for status pages.
+    /// Phase of this rank's coordinator.
     [[nodiscard]] group_map::phase current_phase() const;
 
-    /// This rank's engine as last read; none before the first answer.
+    /// State of this rank's engine when last read; none before the first answer.
     [[nodiscard]] std::optional<group_map::engine_state> engine() const;
 
-    /// Where to send what the coordinator must learn. Where none is heard, all that may coordinate
-    /// are told: one of them may stand in for this rank and must learn that its agent is back.
+    /// The routes for reports to the coordinator. Without contact to a coordinator these lead to
+    /// all candidates: one of them may be substituting for this rank and must learn that its agent
+    /// is running again.
     [[nodiscard]] coordinator_routes routes_to_coordinator(time_point now) const;
 
-    /// Whether requests may be given to the engine.
+    /// Whether requests may be sent to the engine.
     [[nodiscard]] bool may_admit() const;
 
-    /// No more orders or messages.
+    /// Stops sending orders and handling messages.
     void stop();
 
 private:
-    /// What must be done at one rank's engine.
-    struct engine_work {
+    /// Actions for one rank's engine.
+    struct engine_actions {
         std::shared_ptr<engine_port> m_port;
         rank_id m_rank;
         bool m_close_connection = false;
         std::optional<group_map::engine_order> m_order;
     };
 
-    /// What must be done once the lock is free.
+    /// Work to be done after the lock is released.
     struct work {
-        std::vector<engine_work> m_engines;
+        std::vector<engine_actions> m_engines;
         group_map::ended_change m_change;
         bool m_admission_changed = false;
     };
 
-    /// A rank that this coordinator acts for.
-    struct stand_in {
+    /// The substitute for a rank's agent, run by this coordinator.
+    struct substitute {
         std::shared_ptr<engine_port> m_port;
         group_map::participant m_participant;
         time_point m_since{};
     };
 
     void collect(const group_map::participant_effects& effects, rank_id rank, work& todo);
-    void stand_in_for_late_ranks(work& todo, time_point now);
-    void end_stand_ins(work& todo, time_point now);
-    void note_held_up(time_point now);
-    void watch_missing_ranks(time_point now);
+    void substitute_late_ranks(work& todo, time_point now);
+    void end_substitutions(work& todo, time_point now);
+    void exclude_loop_delay(time_point now);
+    void log_missing_ranks(time_point now);
     void collect(const group_map::coordinator_effects& effects, work& todo, time_point now);
     wire::GroupMessage write_command(const group_map::command& message);
     void post_report(const group_map::report& message);
     void post(deliveries&& out);
-    void post(const parcel& item);
+    void post(const addressed_message& item);
     template <class Body>
-    void take_arrived(const Body& arrived, time_point now);
+    void receive_arrived(const Body& arrived, time_point now);
     void take(deliveries&& arrived, work& todo, time_point now);
     void take(const wire::GroupMessage& message, work& todo, time_point now);
-    void take_own_messages(work& todo, time_point now);
+    void handle_local_messages(work& todo, time_point now);
     work finish(work todo, time_point now);
     void carry_out(const work& todo);
-    void send_order(const engine_work& wanted);
+    void send_order(const engine_actions& wanted);
     void on_answer(rank_id rank, absl::StatusOr<group_map::engine_answer> answer);
 
     group_options m_options;
     group_hooks m_hooks;
-    std::shared_ptr<engine_port> m_orders;
+    std::shared_ptr<engine_port> m_order_port;
     link::node* m_node = nullptr;
     std::mutex m_admission_mutex;  ///< taken before `m_mutex`
     mutable std::mutex m_mutex;
@@ -151,15 +152,15 @@
     bool m_may_admit = false;
     group_map::participant m_participant;
     group_map::coordinator m_coordinator;
-    std::map<rank_id, stand_in> m_stand_ins;
-    std::set<rank_id> m_alive;     ///< heard while this one stood in
-    held_up_since m_link_held_up;  ///< as of the last tick
-    time_point m_stand_in_from{};  ///< after the link was held up
+    std::map<rank_id, substitute> m_substitutes;
+    std::set<rank_id> m_alive;             ///< in contact during a substitution
+    held_up_since m_link_held_up;          ///< as of the last tick
+    time_point m_substitute_not_before{};  ///< set after a loop delay of the link
     courier m_courier;
     content_codec m_contents;
-    time_point m_log_missing_at{};  ///< not before: the group waits for ranks
-    bool m_has_logged_missing = false;
-    std::deque<wire::GroupMessage> m_own_messages;  ///< to a rank that this one acts for
+    time_point m_next_missing_ranks_log{};  ///< earliest time of the next `group_waits` log line
+    bool m_has_logged_missing_ranks = false;
+    std::deque<wire::GroupMessage> m_local_messages;  ///< not sent over the link
 };
 
 }  // namespace dewbeam::group
--- a/dewbeam/src/group/group_wire.h
+++ b/dewbeam/src/group/group_wire.h
@@ -1,5 +1,5 @@
 /// \file
-/// The expert map protocol on the wire: between its structs and protobuf.
+/// Conversion of the expert map protocol's messages to and from protobuf.
 #pragma once
 
 #include <optional>
@@ -9,17 +9,17 @@
 
 namespace dewbeam::group {
 
-/// A command of `from` to the rank that it names.
+/// Converts a command that rank `from` sends.
 wire::GroupMessage to_wire(const std::string& group, rank_id from,
                            const group_map::command& message);
 
-/// A report to the rank that it names.
+/// Converts a report.
 wire::GroupMessage to_wire(const std::string& group, const group_map::report& message);
 
-/// The command in a message; none where it holds something else, or a kind that is not known.
+/// The command in a message; none if it holds something else or a command of unknown kind.
 std::optional<group_map::command> command_from_wire(const wire::GroupMessage& message);
 
-/// The report in a message; none where it holds something else.
+/// The report in a message; none if it holds something else.
 std::optional<group_map::report> report_from_wire(const wire::GroupMessage& message);
 
 }  // namespace dewbeam::group
--- a/dewbeam/src/ranks/group_timing.cpp
+++ b/dewbeam/src/ranks/group_timing.cpp
@@ -62,7 +62,7 @@
     coordinator.m_unique_numbers = true;
     coordinator.m_heartbeat_interval = has_relays ? relayed_heartbeat_interval : heartbeat_interval;
     coordinator.m_candidates = options.m_candidates;
-    options.m_patience = patience;
+    options.m_late_answer_timeout = patience;
 }
 
 }  // namespace dewbeam::ranks
--- a/dewbeam/src/ranks/rank_server.cpp
+++ b/dewbeam/src/ranks/rank_server.cpp
@@ -350,7 +350,7 @@
         }
         auto sample = from_wire(message.counts(), now);
         for (const auto& [rank, state] : sample.m_ranks) {
-            runner->note_alive(rank, now);
+            runner->record_alive(rank, now);
         }
         const bool is_sign_of_life = message.counts().experts() == 0;
         if (!is_sign_of_life) {
--- a/test/courier_test.cpp
+++ b/test/courier_test.cpp
@@ -1,4 +1,4 @@
-// Messages inside a large group: what a relay saves, and what its loss costs.
+// Message routing in a large group: the messages that relays save, and the loss of a relay.
 #include "dewbeam/src/group/courier.h"
 
 #include <gtest/gtest.h>
@@ -37,25 +37,27 @@
     return result;
 }
 
-/// All couriers of a group, and what goes over the coordinator's link.
-struct couriers {
-    explicit couriers(std::uint32_t ranks)
+/// All routers of a group, with counters for messages on the coordinator's link.
+struct simulated_group {
+    explicit simulated_group(std::uint32_t ranks)
     {
         for (std::uint32_t rank = 0; rank < ranks; ++rank) {
-            m_all.push_back(make_courier("g", rank_id(rank), ranks));
+            m_routers.push_back(make_courier("g", rank_id(rank), ranks));
         }
     }
 
-    /// Carries everything to its end; each rank reports on its command at once.
-    void carry(std::uint32_t from, deliveries out)
+    /// Delivers all messages, and those that result from them; each rank reports on its command at
+    /// once.
+    void deliver(std::uint32_t from, deliveries out)
     {
         for (auto& item : out.m_parcels) {
             const auto to = item.m_to.value();
-            m_coordinator_messages += to != from && (to == 0 || from == 0) ? 1 : 0;
+            m_coordinator_message_count += to != from && (to == 0 || from == 0) ? 1 : 0;
             if (to == m_lost) {
                 continue;
             }
-            std::visit([&](const auto& body) { carry(to, take(m_all[to], body)); }, item.m_body);
+            std::visit([&](const auto& body) { deliver(to, take(m_routers[to], body)); },
+                       item.m_body);
         }
         for (auto& message : out.m_own) {
             if (message.has_report()) {
@@ -68,52 +70,52 @@
             report.set_from_rank(from);
             report.set_to_rank(message.from_rank());
             report.mutable_report();
-            carry(from, send_report(m_all[from], std::move(report)));
+            deliver(from, send_report(m_routers[from], std::move(report)));
         }
     }
 
-    /// Time passes: relays send on what they have.
+    /// Lets all relays forward the reports that they have gathered.
     void flush_all()
     {
-        for (std::uint32_t rank = 0; rank < m_all.size(); ++rank) {
-            carry(rank, flush(m_all[rank]));
+        for (std::uint32_t rank = 0; rank < m_routers.size(); ++rank) {
+            deliver(rank, flush(m_routers[rank]));
         }
     }
 
-    std::vector<courier> m_all;
+    std::vector<courier> m_routers;
     std::uint32_t m_lost = 1'000'000;
     std::map<std::uint32_t, int> m_reports;  ///< by rank
-    int m_coordinator_messages = 0;
+    int m_coordinator_message_count = 0;
     int m_contents = 0;
 };
 
 TEST(courier, a_small_group_needs_no_relay)
 {
-    couriers group(12);
-    group.carry(0, send_commands(group.m_all[0], commands_to_all(12), now));
+    simulated_group group(12);
+    group.deliver(0, send_commands(group.m_routers[0], commands_to_all(12), now));
     EXPECT_EQ(group.m_reports.size(), 12U);
-    EXPECT_EQ(group.m_coordinator_messages, 22);
+    EXPECT_EQ(group.m_coordinator_message_count, 22);
 }
 
-// A coordinator that sent each of 129 commands itself and took each report by itself spent its
-// whole share of the processor on heartbeats, and no map was changed.
+// Guards against overloading the coordinator. One that sent each of 129 commands and received each
+// report directly spent its whole CPU share on heartbeats, and no map was changed.
 TEST(courier, a_large_group_costs_its_coordinator_two_messages_a_block)
 {
     for (const std::uint32_t ranks : {33U, 63U, large, 256U}) {
-        couriers group(ranks);
-        group.carry(0, send_commands(group.m_all[0], commands_to_all(ranks, true), now));
+        simulated_group group(ranks);
+        group.deliver(0, send_commands(group.m_routers[0], commands_to_all(ranks, true), now));
         EXPECT_EQ(group.m_reports.size(), ranks) << "every rank has reported";
         EXPECT_EQ(group.m_contents, static_cast<int>(ranks)) << "every rank has the map";
-        EXPECT_EQ(group.m_coordinator_messages, static_cast<int>(2 * tellers(ranks)));
+        EXPECT_EQ(group.m_coordinator_message_count, static_cast<int>(2 * tellers(ranks)));
     }
 }
 
 TEST(courier, repeats_go_around_a_lost_relay_and_another_takes_its_place)
 {
-    couriers group(large);
-    const auto lost = *relay_of(group.m_all[0], rank_id(large - 1), now);
+    simulated_group group(large);
+    const auto lost = *relay_of(group.m_routers[0], rank_id(large - 1), now);
     group.m_lost = lost.value();
-    group.carry(0, send_commands(group.m_all[0], commands_to_all(large), now));
+    group.deliver(0, send_commands(group.m_routers[0], commands_to_all(large), now));
     const auto missing = large - group.m_reports.size();
     EXPECT_GT(missing, 1U);
     std::vector<outgoing_command> repeats;
@@ -122,52 +124,53 @@
             repeats.push_back({command_to(rank), true});
         }
     }
-    auto again = send_commands(group.m_all[0], repeats, now);
+    auto again = send_commands(group.m_routers[0], repeats, now);
     EXPECT_EQ(again.m_lost_relays, std::vector<rank_id>{lost});
-    group.carry(0, std::move(again));
+    group.deliver(0, std::move(again));
     EXPECT_EQ(group.m_reports.size(), large - 1);
-    EXPECT_NE(relay_of(group.m_all[0], rank_id(large - 1), now), lost);
+    EXPECT_NE(relay_of(group.m_routers[0], rank_id(large - 1), now), lost);
     group.m_reports.clear();
-    group.carry(0, send_commands(group.m_all[0], commands_to_all(large), now));
+    group.deliver(0, send_commands(group.m_routers[0], commands_to_all(large), now));
     group.flush_all();
     EXPECT_EQ(group.m_reports.size(), large - 1) << "without any repeat";
 }
 
-// While its other agents start, a coordinator called 128 of them by themselves each 150 ms, over as
-// many new connections.
+// Guards against direct repeats to most ranks. While the other agents were starting, a coordinator
+// sent to 128 of them directly every 150 ms, over as many new connections.
 TEST(courier, repeats_to_most_ranks_go_through_relays_as_well)
 {
-    couriers group(large);
+    simulated_group group(large);
     std::vector<outgoing_command> repeats;
     for (std::uint32_t rank = 1; rank < large; ++rank) {
         repeats.push_back({command_to(rank), true});
     }
-    group.carry(0, send_commands(group.m_all[0], std::move(repeats), now));
+    group.deliver(0, send_commands(group.m_routers[0], std::move(repeats), now));
     group.flush_all();
     EXPECT_EQ(group.m_reports.size(), large - 1);
-    EXPECT_LE(group.m_coordinator_messages, static_cast<int>(4 * tellers(large)));
+    EXPECT_LE(group.m_coordinator_message_count, static_cast<int>(4 * tellers(large)));
 }
 
 TEST(courier, a_round_that_nobody_answers_blames_no_relay)
 {
-    couriers group(large);
+    simulated_group group(large);
     std::vector<outgoing_command> repeats;
     for (std::uint32_t rank = 1; rank < large; ++rank) {
         repeats.push_back({command_to(rank), true});
     }
-    const auto first = relay_of(group.m_all[0], rank_id(50), now);
-    const auto out = send_commands(group.m_all[0], repeats, now);
+    const auto first = relay_of(group.m_routers[0], rank_id(50), now);
+    const auto out = send_commands(group.m_routers[0], repeats, now);
     EXPECT_TRUE(out.m_lost_relays.empty());
-    EXPECT_NE(relay_of(group.m_all[0], rank_id(50), now), first) << "another one tries";
+    EXPECT_NE(relay_of(group.m_routers[0], rank_id(50), now), first) << "another one tries";
 }
 
 TEST(courier, a_sign_of_life_blames_no_relay)
 {
-    couriers group(large);
-    const auto relay = *relay_of(group.m_all[0], rank_id(1), now);
-    const auto out = send_commands(group.m_all[0], {{command_to(relay.value()), true, true}}, now);
+    simulated_group group(large);
+    const auto relay = *relay_of(group.m_routers[0], rank_id(1), now);
+    const auto out =
+        send_commands(group.m_routers[0], {{command_to(relay.value()), true, true}}, now);
     EXPECT_TRUE(out.m_lost_relays.empty());
-    EXPECT_EQ(relay_of(group.m_all[0], rank_id(1), now), relay);
+    EXPECT_EQ(relay_of(group.m_routers[0], rank_id(1), now), relay);
 }
 
 TEST(courier, reports_that_come_late_go_on_by_themselves)
--- a/test/group_runner_test.cpp
+++ b/test/group_runner_test.cpp
@@ -1,4 +1,4 @@
-// The map protocol over real links and HTTP orders, and its bytes.
+// The expert map protocol over real links and HTTP orders, and its encoding.
 #include "dewbeam/src/group/group_runner.h"
 
 #include <gtest/gtest.h>
@@ -37,7 +37,7 @@
     }
 };
 
-/// A group in this process, in lock-step, over real sockets.
+/// A lock-step group in this process, connected by real sockets.
 class real_group {
 public:
     real_group(std::size_t ranks, bool checks_fencing) : m_checks_fencing(checks_fencing)
@@ -72,28 +72,29 @@
     real_group(real_group&&) = delete;
     real_group& operator=(real_group&&) = delete;
 
-    /// A new life of a rank's agent; nothing of the last one is left.
+    /// Starts a new incarnation of a rank's agent, without any state of the previous one.
     void start_agent(std::uint32_t rank)
     {
         auto& host = *m_hosts[rank];
-        auto options = make_group_options("g", m_members, rank_id(rank),
-                                          incarnation(++m_lives * 1'000'000), m_checks_fencing);
+        auto options =
+            make_group_options("g", m_members, rank_id(rank),
+                               incarnation(++m_incarnation_count * 1'000'000), m_checks_fencing);
         options.m_participant.m_order_lifetime = milliseconds(200);
-        auto fresh =
+        auto started =
             std::make_shared<group_runner>(options, group_hooks{}, host.m_port, program::now());
-        if (const auto old = host.runner()) {
-            old->stop();
+        if (const auto previous = host.runner()) {
+            previous->stop();
         }
         {
             const std::lock_guard lock(host.m_mutex);
-            host.m_runner = fresh;
+            host.m_runner = started;
         }
-        fresh->start(*host.m_node, program::now());
+        started->start(*host.m_node, program::now());
     }
 
     group_runner& runner(std::size_t rank) { return *m_hosts[rank]->m_runner; }
 
-    /// Ticks and steps until `done`; false where that takes longer than anyone should wait.
+    /// Ticks and steps until `done`; false after 20 s, or if a step ran with two maps.
     template <class Condition>
     bool run_until(Condition&& done)
     {
@@ -157,7 +158,8 @@
         m_members.push_back(host.m_node->address());
     }
 
-    /// Each rank begins the step that the slowest is at; all began it: compare their maps.
+    /// Each rank starts the step that the slowest one is at. Once all have started it, their maps
+    /// are compared.
     void step()
     {
         std::vector<std::unique_lock<std::mutex>> locks;
@@ -188,7 +190,7 @@
     std::vector<std::thread> m_threads;
     std::vector<std::unique_ptr<rank_host>> m_hosts;
     std::vector<std::string> m_members;
-    std::uint64_t m_lives = 0;
+    std::uint64_t m_incarnation_count = 0;
     std::uint64_t m_step = 0;
     bool m_two_maps = false;
 };
@@ -239,21 +241,23 @@
                 read.m_life == sent.m_life && read.m_target == sent.m_target &&
                 *read.m_content == *sent.m_content);
 
-    group_map::report news;
-    news.m_promised = sent.m_epoch;
-    news.m_life = sent.m_life;
-    news.m_engine.m_group = sent.m_life.m_group;
-    news.m_engine.m_armed = sent.m_target;
-    news.m_engine.m_can_hold = false;
-    const auto told = report_from_wire(to_wire("g", news)).value();
-    EXPECT_TRUE(told.m_promised == news.m_promised && told.m_life == news.m_life &&
-                told.m_engine == news.m_engine);
+    group_map::report sent_report;
+    sent_report.m_promised = sent.m_epoch;
+    sent_report.m_life = sent.m_life;
+    sent_report.m_engine.m_group = sent.m_life.m_group;
+    sent_report.m_engine.m_armed = sent.m_target;
+    sent_report.m_engine.m_can_hold = false;
+    const auto read_report = report_from_wire(to_wire("g", sent_report)).value();
+    EXPECT_TRUE(read_report.m_promised == sent_report.m_promised &&
+                read_report.m_life == sent_report.m_life &&
+                read_report.m_engine == sent_report.m_engine);
 
     const group_map::engine_answer answer{fencing_number(3), false, fencing_number(4),
-                                          news.m_engine};
-    const auto heard = engine::answer_from_json(engine::answer_to_json(answer)).value();
-    EXPECT_TRUE(heard.m_number == answer.m_number && heard.m_accepted == answer.m_accepted &&
-                heard.m_highest == answer.m_highest && heard.m_state == answer.m_state);
+                                          sent_report.m_engine};
+    const auto read_answer = engine::answer_from_json(engine::answer_to_json(answer)).value();
+    EXPECT_TRUE(read_answer.m_number == answer.m_number &&
+                read_answer.m_accepted == answer.m_accepted &&
+                read_answer.m_highest == answer.m_highest && read_answer.m_state == answer.m_state);
 }
 
 /// A map of many experts as text, with some of them changed.
@@ -281,8 +285,8 @@
 }
 
 /// Packs at one agent and unpacks at another.
-absl::Status pass_on(content_codec& from, content_codec& to, const group_map::command& sent,
-                     std::uint64_t base, wire::GroupCommand& message)
+absl::Status pack_and_unpack(content_codec& from, content_codec& to, const group_map::command& sent,
+                             std::uint64_t base, wire::GroupCommand& message)
 {
     message = to_wire("g", rank_id(0), sent).command();
     from.pack(sent, group_map::map_of_number(base), message);
@@ -301,9 +305,11 @@
     content_codec coordinator;
     content_codec rank;
     wire::GroupCommand message;
-    ASSERT_TRUE(pass_on(coordinator, rank, stage_command(1, long_map(1, 0)), 0, message).ok());
+    ASSERT_TRUE(
+        pack_and_unpack(coordinator, rank, stage_command(1, long_map(1, 0)), 0, message).ok());
     const auto whole = message.packed_content().size();
-    ASSERT_TRUE(pass_on(coordinator, rank, stage_command(2, long_map(2, 300)), 1, message).ok());
+    ASSERT_TRUE(
+        pack_and_unpack(coordinator, rank, stage_command(2, long_map(2, 300)), 1, message).ok());
     EXPECT_LT(message.packed_content().size(), 2'000U);
     EXPECT_LT(message.packed_content().size(), whole);
     EXPECT_TRUE(message.content().empty());
@@ -315,15 +321,17 @@
     content_codec rank;
     content_codec restarted;
     wire::GroupCommand message;
-    ASSERT_TRUE(pass_on(coordinator, rank, stage_command(1, long_map(1, 0)), 0, message).ok());
+    ASSERT_TRUE(
+        pack_and_unpack(coordinator, rank, stage_command(1, long_map(1, 0)), 0, message).ok());
     auto second = stage_command(2, long_map(2, 300));
-    EXPECT_FALSE(pass_on(coordinator, restarted, second, 1, message).ok());
+    EXPECT_FALSE(pack_and_unpack(coordinator, restarted, second, 1, message).ok());
     second.m_is_repeat = true;
-    EXPECT_TRUE(pass_on(coordinator, restarted, second, 1, message).ok());
+    EXPECT_TRUE(pack_and_unpack(coordinator, restarted, second, 1, message).ok());
     EXPECT_FALSE(message.has_base());
-    // From then on it knows what the others know.
+    // From then on it knows the same maps as the other ranks.
     EXPECT_TRUE(
-        pass_on(coordinator, restarted, stage_command(3, long_map(3, 300)), 2, message).ok());
+        pack_and_unpack(coordinator, restarted, stage_command(3, long_map(3, 300)), 2, message)
+            .ok());
 }
 
 RC_GTEST_PROP(content_codec, damaged_bytes_are_refused, (const std::string& bytes))
@@ -345,7 +353,7 @@
     RC_ASSERT(!engine::answer_from_json("{\"fencing\":" + bytes + "}").ok());
 }
 
-/// An engine that answers every order at once and does nothing.
+/// An engine that answers every order at once without carrying it out.
 class idle_engine : public engine_port {
 public:
     void send(const group_map::engine_order& order, order_done done) override
@@ -359,8 +367,8 @@
     void cancel() override {}
 };
 
-/// How many ranks a coordinator stands in for where it hears none of the others.
-std::size_t stand_ins_in_group_of(std::size_t ranks)
+/// The number of ranks that a coordinator substitutes for if it has no contact with any other rank.
+std::size_t substitutes_in_group_of(std::size_t ranks)
 {
     link::node_options node_options;
     node_options.m_listen = {"127.0.0.1", 0};
@@ -379,7 +387,7 @@
     const auto runner = std::make_shared<group_runner>(options, group_hooks{},
                                                        std::make_shared<idle_engine>(), now);
     runner->start(**node, now);
-    runner->tick(now + options.m_patience);
+    runner->tick(now + options.m_late_answer_timeout);
     runner->stop();
     (*node)->stop();
     return made.size();
@@ -387,9 +395,9 @@
 
 TEST(group_runner, a_coordinator_stands_in_for_a_rank_but_never_for_most)
 {
-    EXPECT_EQ(stand_ins_in_group_of(2), 1U);
-    EXPECT_EQ(stand_ins_in_group_of(4), 0U);
-    EXPECT_EQ(stand_ins_in_group_of(12), 0U);
+    EXPECT_EQ(substitutes_in_group_of(2), 1U);
+    EXPECT_EQ(substitutes_in_group_of(4), 0U);
+    EXPECT_EQ(substitutes_in_group_of(12), 0U);
 }
 
 }  // namespace
