--- a/dewbeam/src/entry/attempts.cpp
+++ b/dewbeam/src/entry/attempts.cpp
@@ -33,8 +33,9 @@
     return "cancelled";
 }
 
-/// A stream whose answer contradicted itself can't go on anywhere.
-void give_up_stream(entry_state& state, const request_pointer& request, time_point now)
+/// Fails a request whose partly delivered stream can't be resumed, unless it is over already, and
+/// cancels its ticket.
+void fail_broken_stream(entry_state& state, const request_pointer& request, time_point now)
 {
     if (!request->is_over()) {
         fail_request(state, request, broken_stream(), now);
@@ -59,8 +60,9 @@
     state.m_node->send(attempt.m_agent_address, std::move(message));
 }
 
-/// Ends at its agent what the entry ends. Where the dispatch is read after the cancellation, since
-/// they took two connections, the tombstone keeps it from being begun.
+/// Cancels an attempt at its agent. The dispatch and the cancellation may travel on different
+/// connections; if the agent reads the cancellation first, the tombstone keeps it from starting the
+/// attempt when the dispatch arrives.
 void take_back(entry_state& state, const owned_attempt& attempt)
 {
     send_cancel(state, attempt.m_id, attempt.m_agent_address);
@@ -78,15 +80,16 @@
                {"reason", reason}});
 }
 
-/// Ends the attempt, if one runs, in whose place the broker dispatches the request anew. False
-/// where it ended by itself in the meantime: whoever saw that tells the broker.
-bool leave_silent_upstream(entry_state& state, const request_pointer& request)
+/// Ends the request's current attempt, if there is one, because the broker dispatches the request
+/// again. Returns false if the attempt ended by itself in the meantime; the code path that handled
+/// that end then notifies the broker.
+bool release_unresponsive_attempt(entry_state& state, const request_pointer& request)
 {
     const auto left = request->attempt();
     if (left.m_id.m_sequence == 0) {
         return true;
     }
-    if (!request->release_unanswered(left.m_id)) {
+    if (!request->release_unless_over(left.m_id)) {
         return false;
     }
     state.m_requests.remove_attempt(left.m_id);
@@ -98,7 +101,7 @@
 void begin_attempt(entry_state& state, const request_pointer& request,
                    const dispatch::action& action, time_point now)
 {
-    if (!leave_silent_upstream(state, request)) {
+    if (!release_unresponsive_attempt(state, request)) {
         return;
     }
     owned_attempt attempt;
@@ -107,10 +110,10 @@
     attempt.m_agent = action.m_incarnation;
     const auto id = attempt.m_id;
     const auto address = attempt.m_agent_address;
-    auto message =
-        request->own(action, std::move(attempt), state.m_configuration.current()->m_version, now);
+    auto message = request->assign_attempt(action, std::move(attempt),
+                                           state.m_configuration.current()->m_version, now);
     if (!message) {
-        give_up_stream(state, request, now);
+        fail_broken_stream(state, request, now);
         return;
     }
     state.m_requests.add_attempt(id, request);
@@ -125,7 +128,7 @@
         end_attempt(state, request, id, dispatch::attempt_end::not_run, "not_sent", now);
     }
     else if (request->attempt().m_id != id) {
-        send_cancel(state, id, address);  // another thread ended it before it was sent
+        send_cancel(state, id, address);  // another thread ended the attempt before it was sent
     }
 }
 
@@ -136,7 +139,7 @@
     for (const auto& action : wanted) {
         const auto request = state.m_requests.find(action.m_ticket);
         if (!request) {
-            continue;  // over in the meantime
+            continue;  // the request ended in the meantime
         }
         if (action.m_kind == dispatch::action::kind::refuse) {
             fail_request(state, request, to_error(action, request->may_have_run(), now), now);
@@ -173,8 +176,8 @@
     }
     const auto wanted = state.m_pools.attempt_ended(known.m_pool, known.m_ticket, end, now);
     if (end == dispatch::attempt_end::upstream_died) {
-        // The other entries must know before the caller can ask one of them again.
-        spread_suspicions(state, now);
+        // The other entries must learn of the suspicion before the caller can retry at one of them.
+        broadcast_suspicions(state, now);
     }
     perform(state, wanted, now);
 }
@@ -182,7 +185,7 @@
 void end_attempts_at(entry_state& state, const std::string& address, std::string_view reason,
                      time_point now)
 {
-    // A process that began anew has run into its end; one that can't be heard may be well.
+    // A restarted agent no longer runs its attempts. After a lost link the agent may still be fine.
     const auto end =
         reason == link_lost ? dispatch::attempt_end::lost : dispatch::attempt_end::unknown;
     for (const auto& request : state.m_requests.all()) {
@@ -201,8 +204,8 @@
 
 namespace {
 
-void give_up(entry_state& state, const request_pointer& request, const caller::error& fault,
-             time_point now)
+void cancel_and_fail(entry_state& state, const request_pointer& request, const caller::error& fault,
+                     time_point now)
 {
     const auto& known = request->known();
     cancel_attempt(state, request);
@@ -212,26 +215,26 @@
 
 }  // namespace
 
-void give_up_all(entry_state& state, time_point now)
+void fail_all_requests(entry_state& state, time_point now)
 {
     for (const auto& request : state.m_requests.all()) {
-        give_up(state, request, stopping(request->may_have_run()), now);
+        cancel_and_fail(state, request, stopping(request->may_have_run()), now);
     }
 }
 
-void watch_deadlines(entry_state& state, const request_pointer& request, time_point now)
+void check_request_deadlines(entry_state& state, const request_pointer& request, time_point now)
 {
     const auto attempt = request->attempt();
     if (attempt.m_id.m_sequence == 0) {
         return;
     }
     if (request->known().m_deadline <= now) {
-        give_up(state, request, deadline_exceeded(), now);
+        cancel_and_fail(state, request, deadline_exceeded(), now);
     }
     else if (request->begin_tombstone(now)) {
         send_tombstone(state, attempt);
     }
-    else if (request->is_broken(now)) {
+    else if (request->is_gap_expired(now)) {
         take_back(state, attempt);
         end_attempt(state, request, attempt.m_id, dispatch::attempt_end::unknown, "chunk_missing",
                     now);
--- a/dewbeam/src/entry/burn_book.cpp
+++ b/dewbeam/src/entry/burn_book.cpp
@@ -30,12 +30,12 @@
     return is_failed ? burn::outcome::failed : burn::outcome::served;
 }
 
-burn_book::burn_book(std::string file) : m_file(std::move(file))
+burn_recorder::burn_recorder(std::string file) : m_file(std::move(file))
 {
     load();
 }
 
-void burn_book::load()
+void burn_recorder::load()
 {
     std::ifstream stream(m_file);
     if (m_file.empty() || !stream) {
@@ -51,15 +51,15 @@
     std::rename(m_file.c_str(), (m_file + ".damaged").c_str());
 }
 
-void burn_book::record(const burn::series_key& key, const configuration::service_target& target,
-                       const request_result& result, time_span first_byte_after,
-                       time_point wall_now)
+void burn_recorder::record(const burn::series_key& key, const configuration::service_target& target,
+                           const request_result& result, time_span first_byte_after,
+                           time_point wall_now)
 {
     const std::lock_guard lock(m_mutex);
     burn::record(m_counts, key, target, burn_outcome(result), first_byte_after, wall_now);
 }
 
-void burn_book::tick(time_point wall_now)
+void burn_recorder::tick(time_point wall_now)
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -72,7 +72,7 @@
     save();
 }
 
-void burn_book::save()
+void burn_recorder::save()
 {
     if (m_file.empty()) {
         return;
@@ -89,7 +89,7 @@
     std::rename(unfinished.c_str(), m_file.c_str());
 }
 
-nlohmann::json burn_book::to_json() const
+nlohmann::json burn_recorder::to_json() const
 {
     const std::lock_guard lock(m_mutex);
     return burn::encode(m_counts);
--- a/dewbeam/src/entry/burn_book.h
+++ b/dewbeam/src/entry/burn_book.h
@@ -1,5 +1,5 @@
 /// \file
-/// Service-level burn of one entry: counts, kept over a restart where the entry has a disk.
+/// Service-level burn counts of one entry, persisted across restarts if a file is configured.
 #pragma once
 
 #include <mutex>
@@ -10,23 +10,25 @@
 
 namespace dewbeam::entry {
 
-/// How a request counts for the service level.
+/// Whether a request counts as served or failed for the service level, or is excluded. Requests
+/// whose caller disconnected, and client errors other than 429, are excluded.
 burn::outcome burn_outcome(const request_result& result);
 
-/// The counts. Thread-safe.
-class burn_book {
+/// Records and persists the counts. Thread-safe.
+class burn_recorder {
 public:
-    /// `file` is empty where the entry keeps nothing. Damaged counts are put aside and logged.
-    explicit burn_book(std::string file);
+    /// If `file` is empty, nothing is persisted. A damaged file is renamed to `file` + ".damaged"
+    /// and logged.
+    explicit burn_recorder(std::string file);
 
     /// Counts a request that ended. `wall_now` is the time since the Unix epoch.
     void record(const burn::series_key& key, const configuration::service_target& target,
                 const request_result& result, time_span first_byte_after, time_point wall_now);
 
-    /// Writes the file where it is time; whole or not at all.
+    /// Writes the file if the save interval has passed.
     void tick(time_point wall_now);
 
-    /// Writes the file now.
+    /// Writes the file now: to a temporary file that then replaces the old one.
     void save();
 
     [[nodiscard]] nlohmann::json to_json() const;
--- a/dewbeam/src/entry/classify.cpp
+++ b/dewbeam/src/entry/classify.cpp
@@ -12,7 +12,7 @@
 
 using json = nlohmann::json;
 
-/// Writes the model that the selector names into the body of a completion.
+/// Replaces the model in the body of a completion by `model`.
 std::string with_model(const std::string& body, const std::string& model)
 {
     auto source = json::parse(body, nullptr, false);
@@ -23,8 +23,8 @@
     return source.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-/// The workspace that a token belongs to; every stored hash is compared, so that the time taken
-/// says nothing about where a match stands.
+/// The workspace that a token belongs to, or null. All stored hashes are compared, so that the
+/// elapsed time does not reveal the position of a match.
 const configuration::workspace* workspace_of_token(const configuration::document& rules,
                                                    const std::string& token)
 {
--- a/dewbeam/src/entry/endings.cpp
+++ b/dewbeam/src/entry/endings.cpp
@@ -4,8 +4,8 @@
 
 namespace dewbeam::entry {
 
-void refuse_unread(entry_state& state, const caller::error& fault, const std::string& request_id,
-                   http::exchange& answer)
+void respond_with_refusal(entry_state& state, const caller::error& fault,
+                          const std::string& request_id, http::exchange& answer)
 {
     log_event(log_level::info, "request_refused",
               {{"request", request_id}, {"status", fault.m_status}, {"code", fault.m_code}});
--- a/dewbeam/src/entry/endings.h
+++ b/dewbeam/src/entry/endings.h
@@ -1,7 +1,7 @@
 /// \file
-/// How requests end: refused before they began, failed, or finished.
+/// Ends requests: refused before they started, failed, or finished.
 ///
-/// The end is counted, logged, and told to control where the request held a claim.
+/// Each end is counted and logged, and reported to control if the request held a claim.
 #pragma once
 
 #include "dewbeam/src/entry/entry_request.h"
@@ -9,11 +9,12 @@
 
 namespace dewbeam::entry {
 
-/// Refuses what never became a request in flight.
-void refuse_unread(entry_state& state, const caller::error& fault, const std::string& request_id,
-                   http::exchange& answer);
+/// Answers with an error a request that never became one in flight.
+void respond_with_refusal(entry_state& state, const caller::error& fault,
+                          const std::string& request_id, http::exchange& answer);
 
-/// Tells control how a claimed request ended, so that a resend can be answered.
+/// Reports to control how a claimed request ended, so that a resend with the same key can be
+/// answered.
 void report_claim(entry_state& state, const request_claim& claim, const request_result& result,
                   time_point now);
 
@@ -21,7 +22,7 @@
 void fail_request(entry_state& state, const request_pointer& request, const caller::error& fault,
                   time_point now);
 
-/// Counts and logs a request that was answered, and forgets it.
+/// Counts and logs a request that was answered, and removes it from the requests in flight.
 void finish_request(entry_state& state, const request_pointer& request, time_point now);
 
 }  // namespace dewbeam::entry
--- a/dewbeam/src/entry/entry_request.cpp
+++ b/dewbeam/src/entry/entry_request.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 constexpr std::string_view resume_field = "X-Resume-Offset";
-constexpr std::chrono::milliseconds acknowledgement_limit{1000};
-constexpr std::chrono::milliseconds tombstone_limit{1000};
-/// A link keeps the order, so a chunk that is missing for this long was lost.
-constexpr std::chrono::milliseconds gap_limit{1000};
-/// Largest whole answer that is kept until it is complete.
+constexpr std::chrono::milliseconds acknowledgement_timeout{1000};
+constexpr std::chrono::milliseconds tombstone_timeout{1000};
+/// A link preserves the order of messages, so a chunk that is missing for this long was lost.
+constexpr std::chrono::milliseconds chunk_gap_timeout{1000};
+/// Maximum size of a non-streamed answer, which is buffered until it is complete.
 constexpr std::size_t most_answer_bytes = 16UL * 1024 * 1024;
 
-/// Fields by which callers talk to dewbeam itself.
-bool is_own_field(const std::string& name)
+/// Header fields that are meant for dewbeam itself and are not forwarded to upstreams.
+bool is_dewbeam_field(const std::string& name)
 {
     for (const auto* own : {"Authorization", "X-Dewbeam-Workspace", "X-Dewbeam-Labels",
                             resume_field.data(), "X-Priority"}) {
@@ -68,21 +68,22 @@
 {
 }
 
-std::optional<wire::Dispatch> entry_request::own(const dispatch::action& action,
-                                                 owned_attempt attempt,
-                                                 configuration_version newest, time_point now)
+std::optional<wire::Dispatch> entry_request::assign_attempt(const dispatch::action& action,
+                                                            owned_attempt attempt,
+                                                            configuration_version newest,
+                                                            time_point now)
 {
     const std::lock_guard lock(m_mutex);
-    const bool is_stuck =
+    const bool cannot_resume_stream =
         m_is_streaming && !replies::can_continue(m_stream, replies::continuation::resume);
-    if (m_is_over || is_stuck) {
+    if (m_is_over || cannot_resume_stream) {
         return std::nullopt;
     }
     m_attempt = std::move(attempt);
-    m_attempt.m_ack_deadline = now + acknowledgement_limit;
+    m_attempt.m_ack_deadline = now + acknowledgement_timeout;
     replies::drop_partial(m_events);
     if (!m_is_streaming) {
-        // The caller has nothing yet: the answer is put together anew.
+        // Nothing was delivered to the caller yet: the answer is assembled from scratch.
         m_stream = {};
         m_stream.m_options.m_most_kept = {0};
         m_body.clear();
@@ -94,7 +95,8 @@
     wire::Dispatch message;
     link::to_wire(m_attempt.m_id, *message.mutable_attempt());
     message.set_agent_incarnation(action.m_incarnation.value());
-    // What was begun under one configuration goes on under it, wherever it must.
+    // A partly delivered stream keeps its classification. Its resumed attempt states the newest
+    // configuration, so that agents don't refuse it as stale.
     link::to_wire(m_is_streaming ? newest : m_facts.m_configuration,
                   *message.mutable_configuration());
     message.set_urgent(m_facts.m_urgent);
@@ -104,7 +106,7 @@
     message.set_target(m_facts.m_request.m_target);
     http::fields fields;
     for (const auto& item : m_facts.m_request.m_fields) {
-        if (!is_own_field(item.m_name)) {
+        if (!is_dewbeam_field(item.m_name)) {
             fields.push_back(item);
         }
     }
@@ -123,14 +125,14 @@
     return message;
 }
 
-chunk_effect entry_request::take(const wire::ReplyChunk& chunk, time_point now)
+chunk_effect entry_request::handle(const wire::ReplyChunk& chunk, time_point now)
 {
     const std::lock_guard lock(m_mutex);
     if (m_is_over || link::from_wire(chunk.attempt()) != m_attempt.m_id) {
         return chunk_effect::none;
     }
     m_attempt.m_is_acknowledged = true;
-    if (!resumes_here(chunk)) {
+    if (!resumes_at_sent_offset(chunk)) {
         return chunk_effect::broken;
     }
     auto out = replies::accept(m_stream, to_reply_chunk(chunk));
@@ -139,7 +141,7 @@
         m_attempt.m_gap_deadline = no_deadline;
     }
     else if (m_attempt.m_gap_deadline == no_deadline) {
-        m_attempt.m_gap_deadline = now + gap_limit;
+        m_attempt.m_gap_deadline = now + chunk_gap_timeout;
     }
     const bool is_end = out.m_finished || out.m_error == replies::reply_error::attempt_ended;
     const bool is_broken = out.m_error != replies::reply_error::none && !is_end;
@@ -147,14 +149,14 @@
         return chunk_effect::broken;
     }
     const auto end = out;
-    const auto effect = take_delivery(std::move(out), now);
+    const auto effect = handle_delivery(std::move(out), now);
     if (effect == chunk_effect::broken) {
         return effect;
     }
-    return is_end ? take_end(end, chunk.reason()) : effect;
+    return is_end ? handle_attempt_end(end, chunk.reason()) : effect;
 }
 
-chunk_effect entry_request::take_delivery(replies::delivery&& out, time_point now)
+chunk_effect entry_request::handle_delivery(replies::delivery&& out, time_point now)
 {
     if (out.m_begins) {
         m_status = static_cast<int>(out.m_status);
@@ -179,9 +181,10 @@
     return out.m_begins ? chunk_effect::first : chunk_effect::none;
 }
 
-bool entry_request::resumes_here(const wire::ReplyChunk& chunk) const
+bool entry_request::resumes_at_sent_offset(const wire::ReplyChunk& chunk) const
 {
-    // An engine that does not say where it resumes would repeat what the caller has already.
+    // An engine that does not confirm the resume offset would repeat events that the caller already
+    // has.
     return m_events.m_events == 0 || chunk.status() == 0 ||
            http::find_field(link::from_wire(chunk.headers()), resume_field) ==
                std::to_string(m_events.m_events);
@@ -209,7 +212,7 @@
 
 void entry_request::deliver_events(std::string_view bytes)
 {
-    // Whole events only, so that another upstream can go on behind the last one.
+    // Delivers complete events only, so that another upstream can resume after the last one.
     auto events = replies::split_events(m_events, bytes);
     if (!events.empty()) {
         m_answer->write(std::move(events));
@@ -227,7 +230,8 @@
     return fields;
 }
 
-chunk_effect entry_request::take_end(const replies::delivery& out, const std::string& reason)
+chunk_effect entry_request::handle_attempt_end(const replies::delivery& out,
+                                               const std::string& reason)
 {
     const bool is_whole_stream = m_is_streaming && m_events.m_has_ended;
     if (!out.m_finished && !is_whole_stream) {
@@ -236,15 +240,15 @@
     if (m_status == 0) {
         return chunk_effect::unknown;
     }
-    if (is_cut()) {
+    if (is_answer_truncated()) {
         replies::reopen(m_stream);
-        return chunk_effect::cut;
+        return chunk_effect::truncated;
     }
     finish();
     return chunk_effect::completed;
 }
 
-bool entry_request::is_cut() const
+bool entry_request::is_answer_truncated() const
 {
     if (m_is_streaming) {
         return !m_events.m_has_ended;
@@ -270,12 +274,12 @@
     }
     m_result.m_status = m_status;
     if (m_facts.m_claim) {
-        keep_answer();
+        store_answer();
     }
     m_answer->respond({m_status, answer_fields(), std::move(m_body)});
 }
 
-void entry_request::keep_answer()
+void entry_request::store_answer()
 {
     if (static_cast<std::int64_t>(m_body.size()) > claims::most_answer_bytes.m_count) {
         return;
@@ -288,7 +292,7 @@
     }
 }
 
-void entry_request::take(const wire::Accepted& message)
+void entry_request::handle(const wire::Accepted& message)
 {
     const std::lock_guard lock(m_mutex);
     if (link::from_wire(message.attempt()) == m_attempt.m_id) {
@@ -296,14 +300,15 @@
     }
 }
 
-chunk_effect entry_request::take(const wire::TombstoneReply& reply)
+chunk_effect entry_request::handle(const wire::TombstoneReply& reply)
 {
     const std::lock_guard lock(m_mutex);
     if (m_is_over || link::from_wire(reply.attempt()) != m_attempt.m_id) {
         return chunk_effect::none;
     }
     const auto effect = to_effect(link::from_wire(reply.outcome()), {});
-    // The agent accepted it in the meantime: that it can't say how it ends is no end.
+    // The agent has accepted the attempt in the meantime: "unknown" then means that it is still
+    // running.
     const bool is_under_way = m_attempt.m_is_acknowledged && effect == chunk_effect::unknown;
     return is_under_way ? chunk_effect::none : effect;
 }
@@ -326,7 +331,7 @@
     return true;
 }
 
-bool entry_request::release_unanswered(const attempt_id& id)
+bool entry_request::release_unless_over(const attempt_id& id)
 {
     const std::lock_guard lock(m_mutex);
     if (m_is_over || m_attempt.m_id != id) {
@@ -345,7 +350,7 @@
                          m_attempt.m_id.m_sequence != 0 && m_attempt.m_ack_deadline <= now;
     if (is_late) {
         m_attempt.m_ack_deadline = no_deadline;
-        m_attempt.m_tombstone_deadline = now + tombstone_limit;
+        m_attempt.m_tombstone_deadline = now + tombstone_timeout;
     }
     return is_late;
 }
@@ -356,19 +361,19 @@
     return !m_is_over && m_attempt.m_tombstone_deadline <= now && !m_attempt.m_is_acknowledged;
 }
 
-bool entry_request::is_broken(time_point now) const
+bool entry_request::is_gap_expired(time_point now) const
 {
     const std::lock_guard lock(m_mutex);
     return !m_is_over && m_attempt.m_gap_deadline <= now;
 }
 
-void entry_request::put_off_deadlines(time_span held_up, time_point now)
+void entry_request::extend_attempt_deadlines(time_span held_up, time_point now)
 {
     const std::lock_guard lock(m_mutex);
     auto& own = m_attempt;
-    own.m_ack_deadline = put_off(own.m_ack_deadline, held_up, now + acknowledgement_limit);
-    own.m_tombstone_deadline = put_off(own.m_tombstone_deadline, held_up, now + tombstone_limit);
-    own.m_gap_deadline = put_off(own.m_gap_deadline, held_up, now + gap_limit);
+    own.m_ack_deadline = put_off(own.m_ack_deadline, held_up, now + acknowledgement_timeout);
+    own.m_tombstone_deadline = put_off(own.m_tombstone_deadline, held_up, now + tombstone_timeout);
+    own.m_gap_deadline = put_off(own.m_gap_deadline, held_up, now + chunk_gap_timeout);
 }
 
 void entry_request::fail(const caller::error& fault)
@@ -379,14 +384,15 @@
     }
     m_is_over = true;
     m_result.m_code = fault.m_code;
-    note_outcome(fault.m_outcome == caller::run_outcome::unknown ? ledger::outcome::unknown
-                                                                 : ledger::outcome::not_run);
+    record_run_outcome(fault.m_outcome == caller::run_outcome::unknown ? ledger::outcome::unknown
+                                                                       : ledger::outcome::not_run);
     if (!m_is_streaming) {
         m_result.m_status = fault.m_status;
         m_answer->respond(caller::to_response(fault, m_facts.m_request_id));
         return;
     }
-    // The caller has part of the answer: say that it is broken, and never end it cleanly.
+    // The caller has part of the answer: send an error event and abort the connection, so that the
+    // answer never looks complete.
     m_answer->write(caller::to_event(fault));
     m_answer->abort();
 }
@@ -401,7 +407,7 @@
     return true;
 }
 
-bool entry_request::set_gone()
+bool entry_request::set_caller_disconnected()
 {
     const std::lock_guard lock(m_mutex);
     if (m_is_over) {
@@ -409,11 +415,11 @@
     }
     m_is_over = true;
     m_result.m_is_caller_gone = true;
-    note_outcome(ledger::outcome::not_run);
+    record_run_outcome(ledger::outcome::not_run);
     return true;
 }
 
-void entry_request::note_outcome(ledger::outcome known)
+void entry_request::record_run_outcome(ledger::outcome known)
 {
     const bool is_under_way = m_attempt.m_id.m_sequence != 0;
     const bool is_doubtful = known == ledger::outcome::not_run && (m_may_have_run || is_under_way);
--- a/dewbeam/src/entry/entry_request.h
+++ b/dewbeam/src/entry/entry_request.h
@@ -1,5 +1,5 @@
 /// \file
-/// One caller's request inside an entry: its answer, and the attempt that it now owns.
+/// One caller's request inside an entry: its answer and its current attempt.
 #pragma once
 
 #include <atomic>
@@ -21,38 +21,39 @@
 
 namespace dewbeam::entry {
 
-/// What the entry must do after a chunk.
+/// What the entry must do after a chunk or a reply to a tombstone.
 enum class chunk_effect {
     none,       ///< nothing more
-    first,      ///< the first byte of an answer went by
-    completed,  ///< the whole answer was given to the caller
+    first,      ///< the answer started
+    completed,  ///< the complete answer was delivered to the caller
     not_run,    ///< the attempt was not run
-    busy,       ///< the same, since the upstream had no room
-    stale,      ///< the same, since the entry's configuration was old
-    unknown,    ///< the attempt's end is unknown
-    cut,        ///< the answer ended as a whole one and isn't: its upstream broke off
-    broken,     ///< a chunk is missing: the attempt must be cancelled, its end is unknown
+    busy,       ///< not run, because the upstream had no free capacity
+    stale,      ///< not run, because the entry's configuration was out of date
+    unknown,    ///< how the attempt ended is unknown
+    truncated,  ///< marked complete, but ends inside an event or before the stream's end
+    broken,     ///< inconsistent or too large: cancel the attempt; how it ended is unknown
 };
 
-/// The attempt that a request owns now.
+/// The current attempt of a request.
 struct owned_attempt {
     attempt_id m_id;
     std::string m_agent_address;
     incarnation m_agent;
-    time_point m_ack_deadline = no_deadline;        ///< until the agent says that it began
-    time_point m_tombstone_deadline = no_deadline;  ///< until the agent answers a tombstone
-    time_point m_gap_deadline = no_deadline;        ///< until a missing chunk comes
+    time_point m_ack_deadline = no_deadline;        ///< for the agent's acknowledgement
+    time_point m_tombstone_deadline = no_deadline;  ///< for the agent's reply to a tombstone
+    time_point m_gap_deadline = no_deadline;        ///< for a missing chunk to arrive
     bool m_is_acknowledged = false;
 };
 
-/// How a request was answered, for metrics and service-level burn.
+/// How a request was answered, for metrics, service-level burn and claims.
 struct request_result {
     int m_status = 0;
-    std::string m_code;         ///< of an error
-    time_point m_first_byte{};  ///< epoch: none
+    std::string m_code;         ///< of the error; empty if there was none
+    time_point m_first_byte{};  ///< epoch if there was none
     bool m_is_caller_gone = false;
     ledger::outcome m_outcome = ledger::outcome::not_run;
-    std::optional<claims::kept_answer> m_answer;  ///< of a claimed request that completed
+    /// Of a claimed request that completed, unless it is too large to store.
+    std::optional<claims::kept_answer> m_answer;
 };
 
 /// The claim of a request with an idempotency key.
@@ -61,12 +62,12 @@
     attempt_id m_attempt;
 };
 
-/// A request. Thread-safe behind its own mutex; it never calls out with the mutex held, but to
-/// the exchange, which only queues.
+/// A request. Thread-safe. While it holds its mutex it calls nothing outside except the HTTP
+/// exchange, which only queues.
 class entry_request
     : public boost::intrusive_ref_counter<entry_request, boost::thread_safe_counter> {
 public:
-    /// What is known before the first attempt; constant afterwards.
+    /// What is known before the first attempt. Constant afterwards.
     struct facts {
         dispatch::ticket m_ticket;
         std::string m_request_id;
@@ -76,16 +77,16 @@
         std::string m_workspace_class;  ///< for service-level burn
         configuration::service_target m_target;
         caller::call m_call;
-        http::request m_request;    ///< as it goes to the upstream
-        model_id m_caller_model;    ///< as the caller named it
-        std::string m_caller_body;  ///< where the selector's model replaced the caller's
+        http::request m_request;    ///< as it is sent to the upstream
+        model_id m_caller_model;    ///< as sent by the caller
+        std::string m_caller_body;  ///< original body, if the selector replaced the model in it
         time_point m_arrival{};
         time_point m_deadline = no_deadline;
         bool m_idempotent = true;
         bool m_urgent = false;
         std::optional<request_claim> m_claim;
         bool m_is_claim_granted = false;  ///< by an earlier classification
-        bool m_may_have_run = false;      ///< the same
+        bool m_may_have_run = false;      ///< under an earlier classification
         configuration_version m_configuration;
     };
 
@@ -93,61 +94,67 @@
 
     [[nodiscard]] const facts& known() const { return m_facts; }
 
-    /// The request now owns `attempt`; chunks of earlier ones are dropped from here on. Gives the
-    /// message to the agent, or nothing where the request is over.
-    /// `newest` is the configuration that the entry knows now.
-    std::optional<wire::Dispatch> own(const dispatch::action& action, owned_attempt attempt,
-                                      configuration_version newest, time_point now);
+    /// Makes `attempt` the current one; chunks of earlier attempts are dropped from now on. Returns
+    /// the message for the agent, or nothing if the request is over or its stream can't be resumed.
+    /// `newest` is the entry's current configuration.
+    std::optional<wire::Dispatch> assign_attempt(const dispatch::action& action,
+                                                 owned_attempt attempt,
+                                                 configuration_version newest, time_point now);
 
-    /// Ends this object so that another one can answer the caller in its place, under a newer
-    /// configuration. False where part of the answer was delivered, or it is over.
+    /// Ends this object so that another one, classified under a newer configuration, can answer the
+    /// caller instead. Returns false if part of the answer was delivered or the request is over.
     bool supersede();
 
-    /// Control granted the request's key to it: from now on its end must be reported.
+    /// Records that control granted the request's claim: its end must now be reported.
     void set_claim_granted() { m_is_claim_granted = true; }
     [[nodiscard]] bool is_claim_granted() const { return m_is_claim_granted; }
 
-    /// The way to the caller.
+    /// The HTTP exchange with the caller.
     [[nodiscard]] const std::shared_ptr<http::exchange>& answer() const { return m_answer; }
 
-    /// Takes a chunk; delivers to the caller what is in order.
-    chunk_effect take(const wire::ReplyChunk& chunk, time_point now);
+    /// Handles a chunk and delivers to the caller what is in order.
+    chunk_effect handle(const wire::ReplyChunk& chunk, time_point now);
 
-    /// The agent says that an attempt began.
-    void take(const wire::Accepted& message);
+    /// Handles the agent's acknowledgement that it accepted an attempt.
+    void handle(const wire::Accepted& message);
 
-    /// Takes the answer to a tombstone; `none` where it is not about the attempt owned now.
-    chunk_effect take(const wire::TombstoneReply& reply);
+    /// Handles the reply to a tombstone. Returns `none` if it is not about the current attempt, or
+    /// if the agent has acknowledged the attempt and doesn't know its end.
+    chunk_effect handle(const wire::TombstoneReply& reply);
 
-    /// The attempt owned now; id with sequence 0 where there is none.
+    /// The current attempt; its id has sequence 0 if there is none.
     [[nodiscard]] owned_attempt attempt() const;
 
-    /// Gives up the attempt, so that nothing of it is delivered any more. False where another
-    /// or none is owned. `is_not_run`: it is certain that it never ran.
+    /// Drops the attempt, so that nothing of it is delivered any more. Returns false if it is not
+    /// the current attempt. `is_not_run`: it is certain that the attempt never ran.
     bool release(const attempt_id& id, bool is_not_run);
 
-    /// The same for an attempt that may have run, unless the request is over.
-    bool release_unanswered(const attempt_id& id);
+    /// Drops an attempt that may have run. Returns false also if the request is over.
+    bool release_unless_over(const attempt_id& id);
 
-    /// Whether the agent is late with its acknowledgement; the tombstone is then under way.
+    /// Whether the agent's acknowledgement is overdue. If so, starts the timeout of a tombstone,
+    /// which the caller of this function must send.
     [[nodiscard]] bool begin_tombstone(time_point now);
 
-    /// Whether the agent is late with its answer to the tombstone.
+    /// Whether the agent's reply to the tombstone is overdue.
     [[nodiscard]] bool is_tombstone_late(time_point now) const;
 
-    /// Whether a chunk is missing for too long.
-    [[nodiscard]] bool is_broken(time_point now) const;
+    /// Whether a chunk has been missing for too long.
+    [[nodiscard]] bool is_gap_expired(time_point now) const;
 
-    /// This process was held up for so long: what the agent sent meanwhile may not have been read.
-    void put_off_deadlines(time_span held_up, time_point now);
+    /// Extends the attempt's deadlines by the time for which this process's event loop was delayed,
+    /// since messages that the agent sent meanwhile may not have been read.
+    void extend_attempt_deadlines(time_span held_up, time_point now);
 
-    /// Ends the request with an error, in the way that still fits what the caller has seen.
+    /// Ends the request with an error response, or with an error event and an abort if the caller
+    /// already has part of a stream.
     void fail(const caller::error& fault);
 
-    /// The caller went away. False where the answer was given already.
-    bool set_gone();
+    /// Records that the caller disconnected. Returns false if the request is already over.
+    bool set_caller_disconnected();
 
-    /// Answers with what an earlier run of the same key left, or with what is known of it.
+    /// Answers with a complete response, such as the stored answer of an earlier run of the same
+    /// key.
     void respond(http::response whole, ledger::outcome outcome);
 
     /// Whether some attempt may have run.
@@ -157,17 +164,17 @@
     [[nodiscard]] request_result result() const;
 
 private:
-    chunk_effect take_delivery(replies::delivery&& out, time_point now);
-    chunk_effect take_end(const replies::delivery& out, const std::string& reason);
+    chunk_effect handle_delivery(replies::delivery&& out, time_point now);
+    chunk_effect handle_attempt_end(const replies::delivery& out, const std::string& reason);
     void begin_answer();
     void deliver_events(std::string_view bytes);
     void finish();
-    [[nodiscard]] bool is_cut() const;
+    [[nodiscard]] bool is_answer_truncated() const;
     [[nodiscard]] bool has_event_stream() const;
-    void keep_answer();
-    void note_outcome(ledger::outcome known);
+    void store_answer();
+    void record_run_outcome(ledger::outcome known);
     [[nodiscard]] bool streams() const;
-    [[nodiscard]] bool resumes_here(const wire::ReplyChunk& chunk) const;
+    [[nodiscard]] bool resumes_at_sent_offset(const wire::ReplyChunk& chunk) const;
     [[nodiscard]] http::fields answer_fields() const;
 
     facts m_facts;
@@ -175,14 +182,14 @@
     mutable std::mutex m_mutex;
     owned_attempt m_attempt;
     replies::reply_stream m_stream;
-    int m_status = 0;  ///< of the answer's head; 0: none yet
+    int m_status = 0;  ///< of the answer's head; 0 before it arrives
     http::fields m_head;
-    std::string m_body;  ///< of a whole answer, until it is complete
+    std::string m_body;  ///< buffered non-streamed answer
     replies::event_splitter m_events;
     std::atomic<bool> m_is_claim_granted = false;
     bool m_is_over = false;
-    bool m_may_have_run = false;  ///< some attempt may have begun
-    bool m_is_streaming = false;  ///< the caller has the head of a stream
+    bool m_may_have_run = false;  ///< some released attempt may have run
+    bool m_is_streaming = false;  ///< the head of a stream was delivered to the caller
     request_result m_result;
 };
 
--- a/dewbeam/src/entry/entry_server.cpp
+++ b/dewbeam/src/entry/entry_server.cpp
@@ -21,13 +21,14 @@
 using json = nlohmann::json;
 
 constexpr std::chrono::milliseconds scan_interval{50};
-/// How long a start waits for control before it takes the word of the domain's other hosts.
-constexpr std::chrono::seconds learning_limit{4};
+/// How long a starting entry waits for the configuration from control before it accepts the one
+/// that other hosts of the failure domain sent.
+constexpr std::chrono::seconds configuration_wait_limit{4};
 /// How long a planned stop waits for control to record how claimed requests ended.
-constexpr std::chrono::seconds report_limit{5};
+constexpr std::chrono::seconds claim_report_timeout{5};
 constexpr std::chrono::milliseconds peers_interval{500};
 constexpr std::chrono::seconds report_interest_interval{5};
-/// Agents of each model whose load reports one entry asks for.
+/// Number of agents per model from which one entry requests load reports.
 constexpr std::size_t report_subset = 64;
 
 }  // namespace
@@ -65,7 +66,7 @@
     ~implementation()
     {
         if (m_state.m_node) {
-            m_state.m_node->stop();  // its thread uses the members that end before it
+            m_state.m_node->stop();  // its thread uses members that are destroyed before it
         }
     }
 
@@ -99,10 +100,10 @@
         };
         result.m_stop_accepting = [this] {
             m_state.m_server->stop_accepting();
-            m_report_deadline = program::now() + report_limit;
+            m_report_deadline = program::now() + claim_report_timeout;
             m_state.m_burn.save();
         };
-        result.m_give_up = [this] { give_up_all(m_state, program::now()); };
+        result.m_give_up = [this] { fail_all_requests(m_state, program::now()); };
         result.m_tick = [this](time_point now) { tick(now); };
         return result;
     }
@@ -152,16 +153,18 @@
         m_state.m_membership->announce(announced, program::now());
     }
 
-    /// Ready once the newest configuration that can be learned is here, and the members with it.
-    /// Control decides; where it stays silent, the hosts of the domain do.
+    /// Whether the entry has a configuration and a settled list of members. The configuration must
+    /// come from control; after `configuration_wait_limit` one from other hosts of the domain
+    /// suffices, and the members are not waited for either.
     bool is_ready(time_point now) const
     {
         const auto& configuration = m_state.m_configuration;
-        const bool is_patient = now < m_started_at + learning_limit;
+        const bool is_waiting_for_control = now < m_started_at + configuration_wait_limit;
         const bool knows_configuration =
-            configuration.has_heard() || (!is_patient && configuration.knows_any());
+            configuration.has_heard() || (!is_waiting_for_control && configuration.knows_any());
         const bool knows_members =
-            now >= m_state.m_members_heard_at.load() + settling_time || !is_patient;
+            now >= m_state.m_last_member_change.load() + membership_settling_time ||
+            !is_waiting_for_control;
         return knows_configuration && knows_members;
     }
 
@@ -195,26 +198,26 @@
         scan(now);
     }
 
-    /// What is due less often than each tick.
+    /// Work that is done less often than at each tick.
     void scan(time_point now)
     {
         m_state.m_burn.tick(program::wall_now());
-        spread_suspicions(m_state, now);
+        broadcast_suspicions(m_state, now);
         if (now >= m_next_peers) {
             m_next_peers = now + peers_interval;
             m_peers = other_entries(m_state);
-            tell_new_entries(m_state, m_known_entries, now);
+            send_suspicions_to_new_entries(m_state, m_known_entries, now);
         }
         if (now >= m_state.m_next_interest.load()) {
             m_state.m_next_interest = now + report_interest_interval;
-            m_state.m_membership->want_reports(report_subset);
+            m_state.m_membership->request_load_reports(report_subset);
         }
         const auto held_up = take_growth(m_link_held_up, m_state.m_node->held_up());
         for (const auto& request : m_state.m_requests.all()) {
             if (held_up > time_span::zero()) {
-                request->put_off_deadlines(held_up, now);
+                request->extend_attempt_deadlines(held_up, now);
             }
-            watch_deadlines(m_state, request, now);
+            check_request_deadlines(m_state, request, now);
         }
         m_state.m_metrics.set_in_flight(m_state.m_requests.size());
         m_state.m_metrics.set_attempts(m_state.m_pools.in_flight());
@@ -225,10 +228,10 @@
     time_point m_next_scan{};
     held_up_since m_link_held_up;  ///< as of the last scan
     time_point m_next_peers{};
-    std::vector<std::string> m_peers;  ///< other entries; used on the frame's thread alone
-    known_entries m_known_entries;     ///< the same
+    std::vector<std::string> m_peers;  ///< other entries; used only on the frame's thread
+    known_entries m_known_entries;     ///< used only on the frame's thread
     time_point m_started_at = program::now();
-    entry_state m_state;  ///< last: what uses the members above ends before them
+    entry_state m_state;  ///< last, so that its users of the members above end first
 };
 
 entry_server::entry_server(program::program& frame, const json& settings)
--- a/dewbeam/src/entry/entry_server.h
+++ b/dewbeam/src/entry/entry_server.h
@@ -1,5 +1,6 @@
 /// \file
-/// The entry program: takes callers' requests and brings each to an upstream that can serve it.
+/// The entry program: accepts callers' requests and dispatches each to an upstream that can serve
+/// it.
 #pragma once
 
 #include <memory>
@@ -24,7 +25,7 @@
     /// Opens the listeners.
     absl::Status start();
 
-    /// What the program's frame calls.
+    /// Hooks for the program's frame. This object must outlive their use.
     program::program_hooks hooks();
 
 private:
--- a/dewbeam/src/entry/entry_state.cpp
+++ b/dewbeam/src/entry/entry_state.cpp
@@ -26,7 +26,7 @@
     return limits;
 }
 
-/// What sets this process's ids apart from those of all others.
+/// Prefix of this process's ids that makes them distinct from those of all other entries.
 incarnation id_scope(const entry_state& state)
 {
     const auto host = stable_hash(setting_value<std::string>(state.m_settings, "/host"));
--- a/dewbeam/src/entry/entry_state.h
+++ b/dewbeam/src/entry/entry_state.h
@@ -1,8 +1,8 @@
 /// \file
-/// What the modules of one entry share.
+/// State that the modules of one entry share.
 ///
-/// Each part guards itself; callers of HTTP, the link's thread and the frame's thread meet here
-/// without a lock around the whole.
+/// Each part does its own locking. HTTP threads, the link's thread and the frame's thread use the
+/// state concurrently, without a lock around the whole.
 #pragma once
 
 #include <atomic>
@@ -26,14 +26,15 @@
 
 namespace dewbeam::entry {
 
-/// Without a new member for this long all are known: digests are compared each second.
-inline constexpr std::chrono::milliseconds settling_time{1500};
-/// Stands in `entry_state::m_members_heard_at` until the first member is heard of: a lone entry is
-/// ready only after the time that a start waits for control.
-inline constexpr time_point no_heard = no_deadline - settling_time;
+/// Once no member has changed for this long, all are assumed to be known: membership digests are
+/// compared each second.
+inline constexpr std::chrono::milliseconds membership_settling_time{1500};
+/// Value of `entry_state::m_last_member_change` until the first member is learned. An entry without
+/// any other member is therefore ready only after the time for which a start waits for control.
+inline constexpr time_point no_member_change = no_deadline - membership_settling_time;
 
-/// The parts of one entry, in the order in which they begin; they end in the reverse one. Whoever
-/// holds it stops `m_node` before that, since the link's thread uses the parts that end earlier.
+/// The parts of one entry, in order of construction; they are destroyed in the reverse order. The
+/// owner must stop `m_node` first, since the link's thread uses parts that are destroyed before it.
 struct entry_state {
     /// `on_configuration` is called after each adoption of a configuration.
     entry_state(program::program& frame, const nlohmann::json& settings,
@@ -44,30 +45,30 @@
     incarnation m_incarnation;
     caller::call_limits m_limits;
     metrics m_metrics;
-    burn_book m_burn;
+    burn_recorder m_burn;
     control::subscriber m_configuration;
     control::claim_client m_claims;
     pool_table m_pools;
     member_table m_members;
-    std::mutex m_update_mutex;  ///< held while a member is read from the table and shown to pools
+    std::mutex m_update_mutex;  ///< held while a member is copied from the table to the pools
     request_table m_requests;
-    loss_memory m_losses;
+    link_loss_history m_losses;
     std::atomic<std::uint64_t> m_last_ticket = 0;
     std::atomic<std::uint64_t> m_last_attempt = 0;
-    std::atomic<time_point> m_next_interest = time_point{};  ///< when load reports are asked for
-    /// When membership last brought news during the start.
-    std::atomic<time_point> m_members_heard_at = no_heard;
-    std::atomic<bool> m_is_started = false;  ///< the parts below are there
+    std::atomic<time_point> m_next_interest = time_point{};  ///< next request for load reports
+    /// When a member last changed during the start.
+    std::atomic<time_point> m_last_member_change = no_member_change;
+    std::atomic<bool> m_is_started = false;  ///< the parts below have been created
     std::unique_ptr<membership_runner> m_membership;
     std::unique_ptr<link::node> m_node;
     std::unique_ptr<http::server> m_server;
 };
 
-/// An id for a new attempt, unlike that of any other entry's attempts. Incarnations alone don't
-/// tell entries apart: they are times, and two processes may start at the same one.
+/// Returns an id for a new attempt that is distinct from those of all other entries. Incarnations
+/// alone don't distinguish entries: they are times, and two processes may start at the same time.
 attempt_id next_attempt_id(entry_state& state);
 
-/// The id of a request, as its caller sees it; unique like those of attempts.
+/// The id of a request that its caller receives; distinct from those of all other entries.
 std::string request_id_of(const entry_state& state, dispatch::ticket request);
 
 }  // namespace dewbeam::entry
--- a/dewbeam/src/entry/intake.cpp
+++ b/dewbeam/src/entry/intake.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-void caller_gone(entry_state& state, const request_pointer& request)
+void on_caller_disconnected(entry_state& state, const request_pointer& request)
 {
-    if (!request->set_gone()) {
+    if (!request->set_caller_disconnected()) {
         return;
     }
     const auto now = program::now();
@@ -24,8 +24,8 @@
             now);
 }
 
-/// Gives a request to its pool. A caller that leaves meanwhile cancels the ticket once more here:
-/// its own cancellation may have come before the broker knew the ticket.
+/// Submits a request to its pool. If the request ended meanwhile, its ticket is cancelled again:
+/// the first cancellation may have come before the broker knew the ticket.
 void submit(entry_state& state, const request_pointer& request, dispatch::request_info info,
             time_point now)
 {
@@ -39,9 +39,9 @@
     }
 }
 
-void take_claim(entry_state& state, const request_pointer& request,
-                const dispatch::request_info& info, const control::claim_reply& reply,
-                time_point now)
+void handle_claim_reply(entry_state& state, const request_pointer& request,
+                        const dispatch::request_info& info, const control::claim_reply& reply,
+                        time_point now)
 {
     if (reply.m_decision == wire::ClaimReply::DECISION_GRANTED) {
         request->set_claim_granted();
@@ -63,8 +63,9 @@
     fail_request(state, request, claim_refused(reply.m_decision), now);
 }
 
-/// A request with a key runs only once control has granted the key to it. It goes on when its
-/// caller goes away: the answer is kept for a resend.
+/// Claims the request's idempotency key at control and submits the request once the claim is
+/// granted. The request continues if its caller disconnects, because its answer is stored for a
+/// resend.
 void claim_then_submit(entry_state& state, const request_pointer& request,
                        dispatch::request_info info, time_point now)
 {
@@ -72,7 +73,7 @@
     state.m_claims.claim(
         *state.m_node, claim.m_key, claim.m_attempt, request->known().m_call.m_content,
         [&state, request, info = std::move(info)](const control::claim_reply& reply) {
-            take_claim(state, request, info, reply, program::now());
+            handle_claim_reply(state, request, info, reply, program::now());
         },
         now);
 }
@@ -83,7 +84,7 @@
     state.m_requests.add(request);
     const auto& known = request->known();
     if (!known.m_claim) {
-        answer->on_gone([&state, request] { caller_gone(state, request); });
+        answer->on_gone([&state, request] { on_caller_disconnected(state, request); });
     }
     if (known.m_claim && !known.m_is_claim_granted) {
         claim_then_submit(state, request, std::move(info), now);
@@ -92,23 +93,24 @@
     submit(state, request, std::move(info), now);
 }
 
-void refuse_classified(entry_state& state, const caller::error& fault,
-                       const entry_request::facts& known, http::exchange& answer, time_point now)
+void refuse_unclassified_request(entry_state& state, const caller::error& fault,
+                                 const entry_request::facts& known, http::exchange& answer,
+                                 time_point now)
 {
     if (known.m_claim && known.m_is_claim_granted) {
         report_claim(state, *known.m_claim, {}, now);
     }
-    refuse_unread(state, fault, known.m_request_id, answer);
+    respond_with_refusal(state, fault, known.m_request_id, answer);
 }
 
-/// Finds the selector of a request, and gives it to its pool.
+/// Finds the selector of a request and submits it to its pool, after a claim if one is needed.
 void classify_and_submit(entry_state& state, entry_request::facts known,
                          const std::shared_ptr<http::exchange>& answer, time_point now)
 {
     const auto active = state.m_configuration.current();
     const auto found = classify(active->m_document, known.m_call);
     if (const auto* fault = std::get_if<caller::error>(&found)) {
-        refuse_classified(state, *fault, known, *answer, now);
+        refuse_unclassified_request(state, *fault, known, *answer, now);
         return;
     }
     const auto& match = std::get<classification>(found);
@@ -134,15 +136,15 @@
     const auto request_id = request_id_of(state, ticket);
     auto read = caller::read_call(request, state.m_limits);
     if (const auto* fault = std::get_if<caller::error>(&read)) {
-        refuse_unread(state, *fault, request_id, *answer);
+        respond_with_refusal(state, *fault, request_id, *answer);
         return;
     }
     if (state.m_frame.phase() == lifecycle::phase::starting) {
-        refuse_unread(state, not_ready(), request_id, *answer);
+        respond_with_refusal(state, not_ready(), request_id, *answer);
         return;
     }
     if (!state.m_frame.takes_requests(now)) {
-        refuse_unread(state, stopping(false), request_id, *answer);
+        respond_with_refusal(state, stopping(false), request_id, *answer);
         return;
     }
     entry_request::facts known;
@@ -163,7 +165,7 @@
                     now);
         return;
     }
-    request->release(id, true);  // an agent that refuses for its configuration has not begun it
+    request->release(id, true);  // an agent that refuses a stale configuration has not started it
     state.m_requests.remove_attempt(id);
     state.m_requests.remove(request);
     auto known = request->known();
--- a/dewbeam/src/entry/intake.h
+++ b/dewbeam/src/entry/intake.h
@@ -1,6 +1,6 @@
 /// \file
-/// From a caller's HTTP request to a request in flight: read, classified, claimed, and given to its
-/// pool.
+/// Turns a caller's HTTP request into a request in flight: parses, classifies and claims it, and
+/// submits it to its pool.
 #pragma once
 
 #include <memory>
@@ -10,12 +10,13 @@
 
 namespace dewbeam::entry {
 
-/// Takes a request that is not for one of the entry's own pages.
+/// Handles a request that is not for one of the entry's own pages.
 void take_call(entry_state& state, http::request&& request,
                const std::shared_ptr<http::exchange>& answer);
 
-/// The agent knows a newer configuration, which this entry has adopted by now: the request is
-/// classified anew under it, unless the caller has part of the answer.
+/// Classifies a request again after its agent refused it for a stale configuration; this entry has
+/// adopted the newer one by now. If the caller already has part of the answer, the attempt ends as
+/// refused instead.
 void resubmit(entry_state& state, const request_pointer& request, const attempt_id& id,
               time_point now);
 
--- a/dewbeam/src/entry/loss_memory.cpp
+++ b/dewbeam/src/entry/loss_memory.cpp
@@ -7,52 +7,53 @@
 
 namespace {
 
-constexpr std::chrono::minutes memory{10};
+constexpr std::chrono::minutes loss_retention{10};
 constexpr std::size_t most_losses = 65'536;
 
 }  // namespace
 
-bool loss_memory::note(fingerprint content, const upstream_life& where, time_point now)
+bool link_loss_history::note(fingerprint content, const upstream_process& where, time_point now)
 {
     const std::lock_guard lock(m_mutex);
     expire(now);
     std::optional<time_point> newest;
-    for (const auto& [life, lost] : m_losses) {
+    for (const auto& [process, lost] : m_losses) {
         const auto place = lost.find(content);
         if (place != lost.end()) {
             newest = std::max(newest, std::optional(place->second));
         }
     }
     make_room();
-    m_losses[where][content] = now + memory;
-    return newest && *newest != now + memory;
+    m_losses[where][content] = now + loss_retention;
+    return newest && *newest != now + loss_retention;
 }
 
-void loss_memory::forget(const upstream_life& where, time_point seen_at)
+void link_loss_history::forget(const upstream_process& where, time_point seen_at)
 {
     const std::lock_guard lock(m_mutex);
     const auto place = m_losses.find(where);
     if (place == m_losses.end()) {
         return;
     }
-    std::erase_if(place->second, [&](const auto& item) { return item.second - memory <= seen_at; });
+    std::erase_if(place->second,
+                  [&](const auto& item) { return item.second - loss_retention <= seen_at; });
     if (place->second.empty()) {
         m_losses.erase(place);
     }
 }
 
-void loss_memory::expire(time_point now)
+void link_loss_history::expire(time_point now)
 {
-    for (auto& [life, lost] : m_losses) {
+    for (auto& [process, lost] : m_losses) {
         std::erase_if(lost, [now](const auto& item) { return item.second <= now; });
     }
     std::erase_if(m_losses, [](const auto& item) { return item.second.empty(); });
 }
 
-void loss_memory::make_room()
+void link_loss_history::make_room()
 {
     std::size_t size = 0;
-    for (const auto& [life, lost] : m_losses) {
+    for (const auto& [process, lost] : m_losses) {
         size += lost.size();
     }
     if (size < most_losses) {
--- a/dewbeam/src/entry/loss_memory.h
+++ b/dewbeam/src/entry/loss_memory.h
@@ -1,10 +1,10 @@
 /// \file
 /// Contents that were running when the link to an agent was lost.
 ///
-/// A lost link is mostly a lost host or a cut, which no content caused, so the first loss makes
-/// no suspect: what ran there goes on elsewhere at once. A content that meets a second loss is
-/// treated as one that ended its upstream. An upstream that goes on in the same life shows that
-/// nothing was ended there: such a loss doesn't count.
+/// Most lost links are caused by a lost host or a network partition rather than by a content, so
+/// the first loss does not make a content suspect: it is retried elsewhere at once. A content that
+/// meets a second loss is treated as if it had crashed its upstream. An upstream that continues in
+/// the same incarnation did not crash, so its losses are forgotten.
 #pragma once
 
 #include <compare>
@@ -16,33 +16,33 @@
 
 namespace dewbeam::entry {
 
-/// One life of the upstream behind an agent; the agent draws it anew with each start of its own and
-/// of the upstream.
-struct upstream_life {
+/// One incarnation of the upstream behind an agent. The agent chooses a new one at each start of
+/// its own and of the upstream.
+struct upstream_process {
     std::string m_address;  ///< of the agent's link
     incarnation m_incarnation;
 
-    friend auto operator<=>(const upstream_life&, const upstream_life&) = default;
+    friend auto operator<=>(const upstream_process&, const upstream_process&) = default;
 };
 
-/// The memory of one entry. Thread-safe; bounded.
-class loss_memory {
+/// The recent losses that one entry has seen. Thread-safe; bounded in size.
+class link_loss_history {
 public:
-    /// Notes a loss; true where the content met another one before, not long ago. Losses noted at
-    /// the same time are one.
-    bool note(fingerprint content, const upstream_life& where, time_point now);
+    /// Records a loss. Returns true if the content met an earlier loss that has not expired. Losses
+    /// recorded at the same time count as one.
+    bool note(fingerprint content, const upstream_process& where, time_point now);
 
-    /// Forgets the losses at an upstream that was found in this life at `seen_at`, up to then.
-    void forget(const upstream_life& where, time_point seen_at);
+    /// Forgets the losses up to `seen_at` at an upstream that was running in this incarnation then.
+    void forget(const upstream_process& where, time_point seen_at);
 
 private:
-    using contents = std::map<fingerprint, time_point>;  ///< and when the loss is forgotten
+    using contents = std::map<fingerprint, time_point>;  ///< with the expiry of each loss
 
     void expire(time_point now);
     void make_room();
 
     std::mutex m_mutex;
-    std::map<upstream_life, contents> m_losses;  ///< none is empty
+    std::map<upstream_process, contents> m_losses;  ///< has no empty values
 };
 
 }  // namespace dewbeam::entry
--- a/dewbeam/src/entry/member_feed.cpp
+++ b/dewbeam/src/entry/member_feed.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-void remove_from_pools(entry_state& state, const membership::member& member, time_point now)
+void remove_member_from_pools(entry_state& state, const membership::member& member, time_point now)
 {
     std::vector<dispatch::actions> wanted;
     {
@@ -24,14 +24,14 @@
 {
     const auto now = program::now();
     if (state.m_frame.phase() == lifecycle::phase::starting) {
-        state.m_members_heard_at = now;
+        state.m_last_member_change = now;
     }
     if (member.m_role != membership::role::agent) {
         return;
     }
     if (!member.m_dead) {
         if (state.m_members.is_new_process(member)) {
-            // Its load is wanted at once, and nothing more comes from the process before it.
+            // Requests the load of the new process at once. The old process sends nothing more.
             state.m_next_interest = time_point{};
             state.m_node->close(member.m_address);
             end_attempts_at(state, member.m_address, "agent_restarted", now);
@@ -40,17 +40,18 @@
             log_event(log_level::info, "upstream_doubted",
                       {{"host", member.m_host.value()}, {"reason", "lease_ended"}});
         }
-        state.m_members.take(member);
+        state.m_members.update_member(member);
         update_pools(state, member.m_host, now);
     }
     else if (state.m_members.remove(member)) {
         log_event(log_level::info, "upstream_gone", {{"upstream", member.m_upstream.value()}});
-        remove_from_pools(state, member, now);
+        remove_member_from_pools(state, member, now);
     }
 }
 
-/// An upstream that was measured in the life of its losses shows that no content ended it.
-void forget_losses(entry_state& state, const agent_report& report)
+/// Forgets losses at an upstream that was measured in the same incarnation after them: no content
+/// crashed it.
+void forget_disproved_losses(entry_state& state, const agent_report& report)
 {
     if (const auto member = state.m_members.find(report.m_host)) {
         state.m_losses.forget({member->m_address, report.m_upstream_life},
@@ -66,7 +67,7 @@
     hooks.m_on_change = [&state](const membership::member& member) { on_member(state, member); };
     hooks.m_on_report = [&state](const agent_report& report) {
         state.m_members.take_load(report.m_host, report.m_load);
-        forget_losses(state, report);
+        forget_disproved_losses(state, report);
         update_pools(state, report.m_host, program::now());
     };
     return hooks;
--- a/dewbeam/src/entry/member_feed.h
+++ b/dewbeam/src/entry/member_feed.h
@@ -1,5 +1,5 @@
 /// \file
-/// From the membership and the configuration to the pools: which upstreams there are, and under
+/// Updates the pools from the membership and the configuration: which upstreams exist, and with
 /// which labels.
 #pragma once
 
@@ -7,14 +7,14 @@
 
 namespace dewbeam::entry {
 
-/// What the membership calls. `state` must outlive the runner that takes them.
+/// The hooks that the membership runner calls. `state` must outlive the runner.
 membership_hooks membership_hooks_of(entry_state& state);
 
-/// Shows the pools a member as the table knows it now. Threads may call this at the same time: what
-/// the pools see last is the newest.
+/// Updates the pools with the current table entry of a member. Thread-safe: concurrent calls leave
+/// the newest state in the pools.
 void update_pools(entry_state& state, const host_id& host, time_point now);
 
-/// Shows the pools all members under the labels of a new configuration.
+/// Updates the pools with all members and their labels under a new configuration.
 void configuration_changed(entry_state& state);
 
 }  // namespace dewbeam::entry
--- a/dewbeam/src/entry/member_table.cpp
+++ b/dewbeam/src/entry/member_table.cpp
@@ -2,11 +2,11 @@
 
 namespace dewbeam::entry {
 
-membership::member member_table::as_seen(const entry& item)
+membership::member member_table::effective_member(const entry& item)
 {
     auto result = item.m_member;
     result.m_suspect = result.m_suspect || item.m_is_unreachable;
-    // Membership keeps the lease; what it holds dead is removed.
+    // Membership tracks the lease and has members removed that it considers dead.
     result.m_lease_deadline = no_deadline;
     return result;
 }
@@ -18,7 +18,7 @@
     return place != m_members.end() && place->second.m_member.m_incarnation < fresh.m_incarnation;
 }
 
-void member_table::take(const membership::member& fresh)
+void member_table::update_member(const membership::member& fresh)
 {
     const std::lock_guard lock(m_mutex);
     auto& item = m_members[fresh.m_host];
@@ -61,7 +61,7 @@
 {
     const std::lock_guard lock(m_mutex);
     const auto place = m_members.find(host);
-    return place == m_members.end() ? std::nullopt : std::optional(as_seen(place->second));
+    return place == m_members.end() ? std::nullopt : std::optional(effective_member(place->second));
 }
 
 std::vector<host_id> member_table::set_unreachable(const std::string& address)
@@ -89,7 +89,7 @@
     const std::lock_guard lock(m_mutex);
     std::vector<membership::member> result;
     for (const auto& [host, item] : m_members) {
-        result.push_back(as_seen(item));
+        result.push_back(effective_member(item));
     }
     return result;
 }
--- a/dewbeam/src/entry/member_table.h
+++ b/dewbeam/src/entry/member_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// The agents that an entry may dispatch to, with their newest load.
+/// The agents that an entry may dispatch to, with their latest reported load.
 #pragma once
 
 #include <map>
@@ -12,29 +12,29 @@
 
 namespace dewbeam::entry {
 
-/// All agents that are not held dead. Thread-safe.
+/// All agents that membership does not consider dead. Thread-safe.
 class member_table {
 public:
-    /// Whether `fresh` is a later process of a host that is known.
+    /// Whether `fresh` is a later process of a known host.
     [[nodiscard]] bool is_new_process(const membership::member& fresh) const;
 
-    /// Takes what membership learned of an agent.
-    void take(const membership::member& fresh);
+    /// Adds or updates an agent. The load of a known process is kept.
+    void update_member(const membership::member& fresh);
 
-    /// Forgets an agent that is held dead; false where a later incarnation is known.
+    /// Removes a dead agent. Returns false if it is unknown or a later incarnation is known.
     bool remove(const membership::member& dead);
 
-    /// Takes a load report, which shows that the agent can be reached from here.
+    /// Stores a load report, which also shows that the agent can be reached from here.
     void take_load(const host_id& host, const membership::member_load& load);
 
-    /// The link to an agent went silent: nothing goes there until it is heard of again. Gives
-    /// those that listen at `address`.
+    /// Marks the agents at `address`, to which the link was lost, as unreachable until their next
+    /// load report or a new process. Returns their hosts.
     std::vector<host_id> set_unreachable(const std::string& address);
 
-    /// An agent as the pools should see it; nothing where it isn't known.
+    /// An agent as the pools should see it, or nothing if it is unknown.
     [[nodiscard]] std::optional<membership::member> find(const host_id& host) const;
 
-    /// The link address of an upstream's agent; empty where it is not known.
+    /// The link address of an upstream's agent; empty if it is unknown.
     [[nodiscard]] std::string address_of(const upstream_id& upstream) const;
 
     [[nodiscard]] std::vector<membership::member> all() const;
@@ -46,7 +46,7 @@
         bool m_is_unreachable = false;
     };
 
-    static membership::member as_seen(const entry& item);
+    static membership::member effective_member(const entry& item);
 
     mutable std::mutex m_mutex;
     std::map<host_id, entry> m_members;
--- a/dewbeam/src/entry/member_wire.cpp
+++ b/dewbeam/src/entry/member_wire.cpp
@@ -11,7 +11,8 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-/// Ages and leases beyond a day are of no use, and large ones would overflow.
+/// Limit of 7 days for ages and leases: those beyond a day are of no use, and very large ones would
+/// overflow.
 constexpr std::uint64_t longest_milliseconds = 7ULL * 24 * 3600 * 1000;
 
 std::uint64_t milliseconds_of(time_span span)
--- a/dewbeam/src/entry/membership_runner.cpp
+++ b/dewbeam/src/entry/membership_runner.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// How long an agent goes on reporting to an entry that asked.
+/// How long an agent sends load reports to an entry after its last request for them.
 constexpr time_span report_interest = std::chrono::seconds(15);
 
-/// Whether two announcements say the same, apart from what the view keeps itself.
-bool says_same(const membership::member& a, const membership::member& b)
+/// Whether two announcements are equal in all fields that `announce` copies.
+bool has_same_announcement(const membership::member& a, const membership::member& b)
 {
     return a.m_http_address == b.m_http_address && a.m_leaving == b.m_leaving &&
            a.m_upstream == b.m_upstream && a.m_labels == b.m_labels && a.m_models == b.m_models &&
@@ -54,7 +54,7 @@
             return true;
         }
         out = membership::receive(m_view, received, now);
-        keep_changes(out);
+        queue_changes(out);
     }
     perform(out, now);
     return true;
@@ -74,7 +74,7 @@
                                        now);
         }
         out = membership::tick(m_view, now, m_random);
-        keep_changes(out);
+        queue_changes(out);
     }
     perform(out, now);
 }
@@ -82,7 +82,7 @@
 void membership_runner::announce(const membership::member& self, time_point now)
 {
     const std::lock_guard lock(m_mutex);
-    if (says_same(self, m_view.m_self)) {
+    if (has_same_announcement(self, m_view.m_self)) {
         return;
     }
     auto renewed = m_view.m_self;
@@ -113,8 +113,8 @@
     membership::note_quorum(m_view, now);
 }
 
-void membership_runner::report(const membership::member_load& load, incarnation upstream_life,
-                               time_point now)
+void membership_runner::report(const membership::member_load& load,
+                               incarnation upstream_incarnation, time_point now)
 {
     wire::Envelope message;
     std::vector<std::string> readers;
@@ -124,14 +124,14 @@
         message.mutable_announcement()->set_host(m_view.m_self.m_host.value());
         message.mutable_announcement()->set_incarnation(m_view.m_self.m_incarnation.value());
     }
-    message.mutable_announcement()->set_upstream_life(upstream_life.value());
+    message.mutable_announcement()->set_upstream_life(upstream_incarnation.value());
     *message.mutable_announcement()->mutable_report() = to_wire(load, now);
     for (const auto& address : readers) {
         send(address, message);
     }
 }
 
-void membership_runner::want_reports(std::size_t size)
+void membership_runner::request_load_reports(std::size_t size)
 {
     wire::Envelope message;
     std::vector<std::string> addresses;
@@ -193,15 +193,15 @@
     deliver_changes();
 }
 
-/// Queues what the view learned. Called with the lock held.
-void membership_runner::keep_changes(membership::effects& out)
+/// Queues the changes that the view reported. Called with the lock held.
+void membership_runner::queue_changes(membership::effects& out)
 {
     std::move(out.m_changes.begin(), out.m_changes.end(), std::back_inserter(m_undelivered));
 }
 
-/// Hands out the queued changes, unless another thread does so already. Two threads that each
-/// handed out their own could swap them, and a member would stay suspect in the eyes of the program
-/// although the view knows better.
+/// Delivers the queued changes, unless another thread is already doing so. If two threads delivered
+/// their own changes, these could arrive in the wrong order, and the program would keep treating a
+/// member as suspect although the view has cleared it.
 void membership_runner::deliver_changes()
 {
     std::unique_lock lock(m_mutex);
--- a/dewbeam/src/entry/messages.cpp
+++ b/dewbeam/src/entry/messages.cpp
@@ -22,7 +22,7 @@
         case chunk_effect::busy:
         case chunk_effect::stale:
             return dispatch::attempt_end::refused_busy;
-        case chunk_effect::cut:
+        case chunk_effect::truncated:
             return dispatch::attempt_end::upstream_died;
         case chunk_effect::none:
         case chunk_effect::first:
@@ -40,7 +40,7 @@
     if (!request) {
         return;
     }
-    const auto effect = request->take(chunk, now);
+    const auto effect = request->handle(chunk, now);
     switch (effect) {
         case chunk_effect::none:
             return;
@@ -57,7 +57,7 @@
         case chunk_effect::not_run:
         case chunk_effect::busy:
         case chunk_effect::unknown:
-        case chunk_effect::cut:
+        case chunk_effect::truncated:
             break;
     }
     auto end = to_end(effect);
@@ -68,11 +68,11 @@
         end = dispatch::attempt_end::lost;
     }
     const std::string_view stated = chunk.reason();
-    const auto reason = effect == chunk_effect::cut ? std::string_view("stream_cut") : stated;
+    const auto reason = effect == chunk_effect::truncated ? std::string_view("stream_cut") : stated;
     end_attempt(state, request, id, end, reason, now);
 }
 
-void on_silence(entry_state& state, const wire::Silence& message, time_point now)
+void on_unresponsive_upstream(entry_state& state, const wire::Silence& message, time_point now)
 {
     if (const auto request = state.m_requests.find(link::from_wire(message.attempt()))) {
         const auto& known = request->known();
@@ -87,7 +87,7 @@
     if (!request) {
         return;
     }
-    const auto effect = request->take(reply);
+    const auto effect = request->handle(reply);
     if (effect != chunk_effect::none) {
         end_attempt(state, request, id, to_end(effect), "tombstone_answered", now);
     }
@@ -99,12 +99,12 @@
     perform(state, state.m_pools.merge_suspicion(message.pool(), record, now), now);
 }
 
-void doubt_upstreams_at(entry_state& state, const std::string& address, time_point now)
+void mark_upstreams_unreachable(entry_state& state, const std::string& address, time_point now)
 {
     for (const auto& host : state.m_members.set_unreachable(address)) {
         log_event(log_level::info, "upstream_doubted",
                   {{"host", host.value()}, {"reason", "link_lost"}});
-        // A report shows when the agent can be reached again.
+        // Requests load reports at once: a report shows that the agent can be reached again.
         state.m_next_interest = time_point{};
         update_pools(state, host, now);
     }
@@ -115,7 +115,7 @@
 void on_message(entry_state& state, const link::peer& from, wire::Envelope&& message)
 {
     if (!state.m_is_started) {
-        return;  // whoever sent this sends it again
+        return;  // the sender will resend it
     }
     const auto now = program::now();
     if (state.m_membership->take(message, now)) {
@@ -127,11 +127,11 @@
     else if (message.has_accepted()) {
         if (const auto request =
                 state.m_requests.find(link::from_wire(message.accepted().attempt()))) {
-            request->take(message.accepted());
+            request->handle(message.accepted());
         }
     }
     else if (message.has_silence()) {
-        on_silence(state, message.silence(), now);
+        on_unresponsive_upstream(state, message.silence(), now);
     }
     else if (message.has_tombstone_reply()) {
         on_tombstone_reply(state, message.tombstone_reply(), now);
@@ -154,7 +154,7 @@
         on_suspicion(state, message.suspicion(), now);
     }
     else if (message.has_subscribe()) {
-        tell_configuration(state, from);
+        send_configuration(state, from);
     }
 }
 
@@ -165,10 +165,10 @@
         state.m_configuration.peer_lost(item.m_address);
         state.m_claims.peer_lost(*state.m_node, item.m_address);
         if (!item.m_address.empty()) {
-            doubt_upstreams_at(state, item.m_address, now);
+            mark_upstreams_unreachable(state, item.m_address, now);
         }
     }
-    // Only now: else what goes on elsewhere would be sent to the next one that is lost.
+    // After all upstreams are marked: otherwise a request could be retried at the next lost agent.
     for (const auto& item : gone) {
         if (!item.m_address.empty()) {
             end_attempts_at(state, item.m_address, link_lost, now);
--- a/dewbeam/src/entry/metrics.cpp
+++ b/dewbeam/src/entry/metrics.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Seconds; the middle ones stand around the targets for a first token.
+/// In seconds; the middle bounds surround the targets for the first token.
 const prometheus::Histogram::BucketBoundaries latency_bounds{
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.72, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0};
 
@@ -40,7 +40,7 @@
             .Name("dewbeam_first_byte_seconds")
             .Help("Time from arrival to the first byte of an answer, by selector.")
             .Register(m_registry);
-    prometheus::Family<prometheus::Histogram>& m_whole =
+    prometheus::Family<prometheus::Histogram>& m_request_duration =
         prometheus::BuildHistogram()
             .Name("dewbeam_request_seconds")
             .Help("Time from arrival to the end of an answer, by selector.")
@@ -83,7 +83,8 @@
         all.m_first_byte.Add({{"selector", selector}}, latency_bounds)
             .Observe(to_seconds(first_byte_after));
     }
-    all.m_whole.Add({{"selector", selector}}, latency_bounds).Observe(to_seconds(whole_after));
+    all.m_request_duration.Add({{"selector", selector}}, latency_bounds)
+        .Observe(to_seconds(whole_after));
 }
 
 void metrics::dispatched()
--- a/dewbeam/src/entry/metrics.h
+++ b/dewbeam/src/entry/metrics.h
@@ -1,7 +1,7 @@
 /// \file
 /// Metrics of an entry, for Prometheus.
 ///
-/// Labels are bounded: selectors and failure domains are named, workspaces never are.
+/// The number of label values is bounded: there are labels for selectors, never for workspaces.
 #pragma once
 
 #include <memory>
@@ -22,14 +22,14 @@
     metrics(metrics&&) = delete;
     metrics& operator=(metrics&&) = delete;
 
-    /// A request ended.
+    /// Counts a request that ended.
     void request_ended(const std::string& selector, const request_result& result,
                        time_span first_byte_after, time_span whole_after);
 
-    /// An attempt was handed to an agent.
+    /// Counts an attempt that was dispatched to an agent.
     void dispatched();
 
-    /// An attempt ended otherwise than whole.
+    /// Counts an attempt that did not complete.
     void attempt_failed(const char* end);
 
     void set_in_flight(std::size_t count);
@@ -37,7 +37,7 @@
     void set_configuration_number(std::uint64_t number);
     void set_upstreams(std::size_t count);
 
-    /// The text form that Prometheus reads.
+    /// The Prometheus text exposition format.
     [[nodiscard]] std::string text() const;
 
 private:
--- a/dewbeam/src/entry/pages.cpp
+++ b/dewbeam/src/entry/pages.cpp
@@ -38,7 +38,7 @@
     return page.dump();
 }
 
-/// `{"pool": "model:NAME", "content": N}`: the content may run again, on every entry.
+/// Lifts the quarantine of a content on every entry. Body: `{"pool": "model:NAME", "content": N}`.
 http::response lift_quarantine(entry_state& state, const http::request& request)
 {
     const auto body = json::parse(request.m_body, nullptr, false);
--- a/dewbeam/src/entry/pages.h
+++ b/dewbeam/src/entry/pages.h
@@ -1,5 +1,5 @@
 /// \file
-/// The entry's own pages: health, readiness, metrics, status, burn, models, and the lift of a
+/// The entry's own HTTP pages: health, readiness, metrics, status, burn, models, and lifting a
 /// quarantine.
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace dewbeam::entry {
 
-/// Answers a request for one of the pages; nothing where it is a call.
+/// The response to a request for one of the pages, or nothing if it is for another path.
 std::optional<http::response> answer_page(entry_state& state, const http::request& request);
 
 }  // namespace dewbeam::entry
--- a/dewbeam/src/entry/peers.cpp
+++ b/dewbeam/src/entry/peers.cpp
@@ -20,7 +20,7 @@
     return state.m_configuration.is_control(from.m_address);
 }
 
-void tell_configuration(entry_state& state, const link::peer& from)
+void send_configuration(entry_state& state, const link::peer& from)
 {
     if (state.m_configuration.knows_any()) {
         wire::Envelope answer;
--- a/dewbeam/src/entry/peers.h
+++ b/dewbeam/src/entry/peers.h
@@ -1,5 +1,5 @@
 /// \file
-/// The other processes of the site, as an entry talks to them.
+/// The other entries and control hosts that an entry communicates with.
 #pragma once
 
 #include <string>
@@ -9,13 +9,13 @@
 
 namespace dewbeam::entry {
 
-/// Link addresses of the other entries that are there.
+/// Link addresses of the other entries that are not considered dead.
 std::vector<std::string> other_entries(const entry_state& state);
 
-/// Whether a control host sent it.
+/// Whether the peer is a control host.
 bool is_from_control(const entry_state& state, const link::peer& from);
 
-/// Another host of a cut-off domain asks for the newest configuration.
-void tell_configuration(entry_state& state, const link::peer& from);
+/// Sends the newest known configuration to another host of a cut-off domain that requested it.
+void send_configuration(entry_state& state, const link::peer& from);
 
 }  // namespace dewbeam::entry
--- a/dewbeam/src/entry/pool_table.cpp
+++ b/dewbeam/src/entry/pool_table.cpp
@@ -55,14 +55,14 @@
 
 pool_table::pool_table(dispatch::broker_options options) : m_options(std::move(options)) {}
 
-std::shared_ptr<pool_table::cell> pool_table::find(const std::string& name) const
+std::shared_ptr<pool_table::locked_broker> pool_table::find(const std::string& name) const
 {
     const std::shared_lock lock(m_mutex);
     const auto place = m_pools.find(name);
     return place == m_pools.end() ? nullptr : place->second;
 }
 
-std::shared_ptr<pool_table::cell> pool_table::find_or_make(const std::string& name)
+std::shared_ptr<pool_table::locked_broker> pool_table::find_or_make(const std::string& name)
 {
     if (auto known = find(name)) {
         return known;
@@ -70,7 +70,7 @@
     const std::unique_lock lock(m_mutex);
     auto& place = m_pools[name];
     if (!place) {
-        place = std::make_shared<cell>();
+        place = std::make_shared<locked_broker>();
         place->m_broker.m_options = m_options;
         place->m_broker.m_suspicions.m_options = m_options.m_quarantine;
         dispatch::set_sharing(place->m_broker, m_options.m_entries_sharing, m_options.m_retries);
@@ -82,7 +82,7 @@
 dispatch::actions pool_table::submit(const std::string& pool, dispatch::request_info info,
                                      time_point now)
 {
-    // Where requests wait for upstreams, they may be the first that is known of their pool.
+    // If requests may wait for upstreams, a request may create its pool.
     const auto target = m_options.m_waits_for_upstreams ? find_or_make(pool) : find(pool);
     if (!target) {
         dispatch::action refusal;
@@ -160,7 +160,7 @@
 
 dispatch::actions pool_table::tick(time_point now)
 {
-    std::vector<std::shared_ptr<cell>> all;
+    std::vector<std::shared_ptr<locked_broker>> all;
     {
         const std::shared_lock lock(m_mutex);
         for (const auto& [name, one] : m_pools) {
@@ -337,7 +337,7 @@
     m_options.m_entries_sharing = entries;
     m_options.m_retries = retries;
     for (const auto& [name, one] : m_pools) {
-        const std::lock_guard cell_lock(one->m_mutex);
+        const std::lock_guard broker_lock(one->m_mutex);
         dispatch::set_sharing(one->m_broker, entries, retries);
     }
 }
--- a/dewbeam/src/entry/pool_table.h
+++ b/dewbeam/src/entry/pool_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// The brokers of an entry, one for each pool, each under its own lock.
+/// The brokers of an entry: one per pool, each with its own lock.
 #pragma once
 
 #include <map>
@@ -14,16 +14,16 @@
 
 namespace dewbeam::entry {
 
-/// Name of the pool of a model's work.
+/// Name of the pool for requests to a model.
 std::string model_pool(const model_id& model);
 
-/// Name of the pool of a plain service's work.
+/// Name of the pool for requests to a plain service.
 std::string service_pool(const std::string& service);
 
-/// The pools that a member serves: one for each model, or one for its service.
+/// The pools that a member serves: one for each of its models and one for its service, if any.
 std::vector<std::string> pools_of(const membership::member& member);
 
-/// What a broker needs to know of a member, under the labels that the operators gave it.
+/// What a broker needs to know about a member, with its effective labels.
 dispatch::upstream_info to_upstream(const membership::member& member,
                                     const configuration::label_set& labels);
 
@@ -33,8 +33,9 @@
     quarantine::suspicion m_record;
 };
 
-/// All brokers of an entry. A pool exists from the first announcement of an upstream that serves
-/// it. Thread-safe; no lock is held while a caller carries out the actions.
+/// All brokers of an entry. A pool is created by the first upstream that serves it, by the first
+/// suspicion about it or, if requests may wait for upstreams, by the first request. Thread-safe; no
+/// lock is held while a caller performs the returned actions.
 class pool_table {
 public:
     explicit pool_table(dispatch::broker_options options);
@@ -54,67 +55,69 @@
 
     /// Suspicions that are new since the last call.
     std::vector<pool_suspicion> take_suspicions();
-    /// All suspicions, for an entry that knows none.
+    /// All suspicions, to be sent to an entry that has none.
     [[nodiscard]] std::vector<pool_suspicion> all_suspicions() const;
 
-    /// Takes a suspicion in, also before the first upstream of its pool is known.
+    /// Merges a suspicion, also before the first upstream of its pool is known.
     dispatch::actions merge_suspicion(const std::string& pool, const quarantine::suspicion& record,
                                       time_point now);
     void lift_quarantine(const std::string& pool, fingerprint content, time_point now);
 
-    /// Suspected contents for which this process wants to have, or to keep, the turn.
+    /// Suspected contents for which this process wants to get or keep the exclusive grant to run
+    /// them.
     [[nodiscard]] std::vector<fingerprint> wanted_turns() const;
     dispatch::actions set_turns(const std::vector<fingerprint>& granted, bool is_cut_off,
                                 time_point now);
     void suspend_turn(const std::string& pool, fingerprint content);
 
-    /// An upstream's fault failed an attempt, or it answered one; true where it is closed for it.
+    /// Records that an attempt failed by its upstream's fault, or that the upstream answered.
+    /// Returns true if the upstream's circuit breaker opens.
     bool note_result(const std::string& pool, const upstream_id& name,
                      dispatch::upstream_result how, time_point now);
 
-    /// An upstream refused by the fault of another rank of its group; true where the group is
-    /// closed for it.
+    /// Records that an upstream refused because of another rank of its group. Returns true if the
+    /// group's circuit breaker opens.
     bool note_group_refusal(const std::string& pool, const upstream_id& name, time_point now);
 
-    /// A running stream had an event after its first; true where its group, which had been found
-    /// still, goes on.
+    /// Records an event of a running stream after its first. Returns true if its group, which had
+    /// been found stalled, makes progress again.
     bool next_event(const std::string& pool, dispatch::ticket request, time_point now);
 
-    /// Groups that were found to make no steps since the last call.
+    /// Groups that were found stalled since the last call.
     std::vector<std::string> take_still_groups();
 
-    /// Whether a running request is late by its upstream's own fault.
+    /// Whether a running request is late because of its upstream.
     [[nodiscard]] bool is_outrun(const std::string& pool, dispatch::ticket request,
                                  time_span margin) const;
 
-    /// The further permits that each pool wants for its limited upstreams.
+    /// The additional permits that each pool needs for its limited upstreams.
     [[nodiscard]] std::vector<permits::demand> wanted_permits(time_point now) const;
 
     dispatch::actions add_permits(const std::string& pool, const upstream_id& name,
                                   std::uint32_t count, time_point deadline, time_point now);
 
-    /// States for all pools how many entries share the upstreams, and this entry's retries.
+    /// Sets for all pools how many entries share the upstreams, and this entry's retry budget.
     void set_sharing(std::uint32_t entries, const retry::budget_options& retries);
 
-    /// Attempts under way, over all pools. Each takes a place at its upstream.
+    /// Attempts in flight over all pools. Each occupies a slot at its upstream.
     [[nodiscard]] std::size_t in_flight() const;
 
     /// Names of all pools, sorted.
     [[nodiscard]] std::vector<std::string> names() const;
 
 private:
-    struct cell {
+    struct locked_broker {
         std::mutex m_mutex;
         dispatch::broker m_broker;
         random_engine m_random;
     };
 
-    [[nodiscard]] std::shared_ptr<cell> find(const std::string& name) const;
-    std::shared_ptr<cell> find_or_make(const std::string& name);
+    [[nodiscard]] std::shared_ptr<locked_broker> find(const std::string& name) const;
+    std::shared_ptr<locked_broker> find_or_make(const std::string& name);
 
-    dispatch::broker_options m_options;  ///< under m_mutex
+    dispatch::broker_options m_options;  ///< guarded by m_mutex
     mutable std::shared_mutex m_mutex;
-    std::map<std::string, std::shared_ptr<cell>> m_pools;
+    std::map<std::string, std::shared_ptr<locked_broker>> m_pools;
 };
 
 }  // namespace dewbeam::entry
--- a/dewbeam/src/entry/refusals.cpp
+++ b/dewbeam/src/entry/refusals.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 
-struct wording {
+struct error_template {
     int m_status;
     const char* m_type;
     const char* m_message;
     caller::run_outcome m_outcome;
 };
 
-wording words_for(dispatch::refusal reason)
+error_template error_template_for(dispatch::refusal reason)
 {
     using caller::run_outcome;
     switch (reason) {
@@ -19,10 +19,9 @@
             return {503, "upstream_error", "no upstream that can serve this request is there",
                     run_outcome::not_run};
         case dispatch::refusal::overloaded:
-            return {429, "overloaded_error", "there is more work than the upstreams can do",
-                    run_outcome::not_run};
+            return {429, "overloaded_error", "the upstreams are overloaded", run_outcome::not_run};
         case dispatch::refusal::deadline_passed:
-            return {504, "timeout_error", "the request's time ran out before it could begin",
+            return {504, "timeout_error", "the deadline passed before the request could start",
                     run_outcome::not_run};
         case dispatch::refusal::retries_exhausted:
             return {503, "upstream_error", "no upstream took the request", run_outcome::not_run};
@@ -33,13 +32,13 @@
         case dispatch::refusal::quarantined:
             break;
     }
-    return {503, "quarantine_error", "requests with this content ended their upstreams",
-            run_outcome::not_run};
+    return {503, "quarantine_error",
+            "requests with this content crashed the upstreams that ran them", run_outcome::not_run};
 }
 
-/// The words for a request that some upstream may have run: the status must not promise that none
+/// The error for a request that some upstream may have run: the status must not promise that none
 /// did.
-wording after_attempts(const wording& plain)
+error_template to_possibly_run(const error_template& plain)
 {
     const bool is_timeout = plain.m_status == 504;
     return {is_timeout ? 504 : 502, plain.m_type,
@@ -50,18 +49,18 @@
 
 caller::error to_error(const dispatch::action& refusal, bool may_have_run, time_point now)
 {
-    auto words = words_for(refusal.m_refusal);
+    auto text = error_template_for(refusal.m_refusal);
     if (may_have_run) {
-        // What ended the last try says nothing of the earlier ones, which may have run.
-        words = after_attempts(words);
+        // The reason of the refusal says nothing about earlier attempts, which may have run.
+        text = to_possibly_run(text);
     }
     caller::error fault;
-    fault.m_status = words.m_status;
-    fault.m_type = words.m_type;
+    fault.m_status = text.m_status;
+    fault.m_type = text.m_type;
     fault.m_code = dispatch::to_string(refusal.m_refusal);
-    fault.m_message = words.m_message;
-    fault.m_outcome = words.m_outcome;
-    if (words.m_outcome == caller::run_outcome::not_run && refusal.m_retry_at > now) {
+    fault.m_message = text.m_message;
+    fault.m_outcome = text.m_outcome;
+    if (text.m_outcome == caller::run_outcome::not_run && refusal.m_retry_at > now) {
         fault.m_retry_after = refusal.m_retry_at - now;
     }
     return fault;
@@ -79,7 +78,7 @@
 
 caller::error not_authorized()
 {
-    auto fault = caller::bad_request("not_authorized", "a valid bearer token is needed");
+    auto fault = caller::bad_request("not_authorized", "a valid bearer token is required");
     fault.m_status = 401;
     fault.m_type = "authentication_error";
     fault.m_outcome = caller::run_outcome::not_run;
@@ -88,9 +87,9 @@
 
 caller::error unknown_workspace()
 {
-    auto fault = caller::bad_request("unknown_workspace",
-                                     "there is no workspace of this name in the configuration",
-                                     "X-Dewbeam-Workspace");
+    auto fault =
+        caller::bad_request("unknown_workspace", "the configuration has no workspace of this name",
+                            "X-Dewbeam-Workspace");
     fault.m_outcome = caller::run_outcome::not_run;
     return fault;
 }
@@ -110,7 +109,7 @@
     fault.m_status = 504;
     fault.m_type = "timeout_error";
     fault.m_code = "deadline_exceeded";
-    fault.m_message = "the request's time ran out while it was running";
+    fault.m_message = "the deadline passed while the request was running";
     fault.m_outcome = caller::run_outcome::unknown;
     return fault;
 }
@@ -121,7 +120,7 @@
     fault.m_status = 502;
     fault.m_type = "upstream_error";
     fault.m_code = "broken_stream";
-    fault.m_message = "the upstream's answer broke off and can't be continued";
+    fault.m_message = "the upstream's answer was interrupted and can't be resumed";
     fault.m_outcome = caller::run_outcome::unknown;
     return fault;
 }
@@ -170,10 +169,10 @@
     fault.m_status = may_have_run ? 504 : 503;
     fault.m_type = "upstream_error";
     fault.m_code = "stopping";
-    fault.m_message = "this entry stops before the request can be finished";
+    fault.m_message = "this entry is shutting down before the request can be finished";
     fault.m_outcome = may_have_run ? caller::run_outcome::unknown : caller::run_outcome::not_run;
     if (!may_have_run) {
-        fault.m_retry_after = std::chrono::milliseconds(100);  // another entry takes it
+        fault.m_retry_after = std::chrono::milliseconds(100);  // another entry can serve it
     }
     return fault;
 }
@@ -184,7 +183,7 @@
     fault.m_status = 503;
     fault.m_type = "upstream_error";
     fault.m_code = "not_ready";
-    fault.m_message = "this entry does not take requests now";
+    fault.m_message = "this entry is not ready to accept requests";
     fault.m_outcome = caller::run_outcome::not_run;
     fault.m_retry_after = std::chrono::seconds(1);
     return fault;
--- a/dewbeam/src/entry/refusals.h
+++ b/dewbeam/src/entry/refusals.h
@@ -1,5 +1,5 @@
 /// \file
-/// What callers are told when a request is refused or fails.
+/// The errors that callers receive when a request is refused or fails.
 #pragma once
 
 #include "dewbeam.pb.h"
@@ -8,8 +8,8 @@
 
 namespace dewbeam::entry {
 
-/// The caller's error for a refusal by a broker. Where some attempt `may_have_run`, it doesn't say
-/// that the request was not run, and gives no time to come back.
+/// The caller's error for a refusal by a broker. If some attempt `may_have_run`, the error doesn't
+/// claim that the request was not run, and has no Retry-After.
 caller::error to_error(const dispatch::action& refusal, bool may_have_run, time_point now);
 
 /// No work selector matches the request's labels.
@@ -21,22 +21,22 @@
 /// The workspace that the caller names does not exist.
 caller::error unknown_workspace();
 
-/// The selector needs an Idempotency-Key and the caller sent none.
+/// The selector requires an Idempotency-Key and the caller sent none.
 caller::error key_required(const std::string& selector);
 
 /// The deadline passed while the request may have been running.
 caller::error deadline_exceeded();
 
-/// The upstream's answer contradicted itself after part of it was delivered.
+/// The upstream's answer was interrupted after part of it was delivered, and can't be resumed.
 caller::error broken_stream();
 
-/// What a claim that was not granted means for the caller.
+/// The error for a claim that was not granted.
 caller::error claim_refused(wire::ClaimReply::Decision decision);
 
 /// This process stops before it could finish the request.
 caller::error stopping(bool may_have_run);
 
-/// The entry does not serve (yet, or any more).
+/// The entry is still starting.
 caller::error not_ready();
 
 }  // namespace dewbeam::entry
--- a/dewbeam/src/entry/request_table.h
+++ b/dewbeam/src/entry/request_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// The requests in flight of an entry, by ticket and by attempt, in shards.
+/// The requests in flight of an entry, sharded and indexed by ticket and by attempt.
 #pragma once
 
 #include <atomic>
@@ -11,7 +11,7 @@
 
 namespace dewbeam::entry {
 
-/// Finds requests. Thread-safe; each shard has its own lock.
+/// Index of the requests in flight. Thread-safe; each shard has its own lock.
 class request_table {
 public:
     void add(const request_pointer& request);
@@ -20,7 +20,7 @@
     [[nodiscard]] request_pointer find(dispatch::ticket id);
     [[nodiscard]] request_pointer find(const attempt_id& id);
 
-    /// Lets an attempt lead to its request.
+    /// Adds an attempt to the index.
     void add_attempt(const attempt_id& id, const request_pointer& request);
     void remove_attempt(const attempt_id& id);
 
--- a/dewbeam/src/entry/status_page.cpp
+++ b/dewbeam/src/entry/status_page.cpp
@@ -10,7 +10,8 @@
 
 using json = nlohmann::json;
 
-/// A silent upstream is left alone after this and a few rounds of gossip: within 3 s in all.
+/// An unresponsive upstream gets no more requests after this and a few rounds of gossip: within 3 s
+/// in total.
 constexpr std::chrono::seconds member_lease{2};
 
 }  // namespace
@@ -75,7 +76,7 @@
 }
 
 membership::member self_of(const json& settings, membership::role kind, const link::node& node,
-                           incarnation life)
+                           incarnation process_incarnation)
 {
     membership::member self;
     self.m_host = host_id(setting_value<std::string>(settings, "/host"));
@@ -83,7 +84,7 @@
         failure_domain_id(setting_value<std::string>(settings, "/failure_domain"));
     self.m_role = kind;
     self.m_address = node.address();
-    self.m_incarnation = life;
+    self.m_incarnation = process_incarnation;
     return self;
 }
 
--- a/dewbeam/src/entry/status_page.h
+++ b/dewbeam/src/entry/status_page.h
@@ -1,5 +1,5 @@
 /// \file
-/// What all programs put on their status pages, and how they join the membership.
+/// The common part of all programs' status pages, and joining the membership.
 #pragma once
 
 #include <memory>
@@ -17,11 +17,12 @@
 /// A member as status pages show it.
 nlohmann::json to_json(const membership::member& member);
 
-/// What agents last reported to an entry, as its status page shows it.
+/// The latest loads that agents reported to an entry, as its status page shows them.
 nlohmann::json loads_to_json(const std::vector<membership::member>& agents);
 
-/// `{"host", "role", "failure_domain", "phase", "incarnation", "configuration", "cut_off",
-/// "reach", "members"}`; the program adds its own.
+/// What a program knows about itself for its status page, which has the fields `{"host", "role",
+/// "failure_domain", "phase", "incarnation", "configuration", "cut_off", "reach", "members"}`; the
+/// program adds its own.
 struct status_facts {
     std::string m_host;
     membership::role m_role = membership::role::entry;
@@ -34,11 +35,11 @@
 nlohmann::json status_page(const status_facts& facts, const membership_runner& members,
                            time_point now);
 
-/// The member that a process announces, as far as the settings and its node tell.
+/// The member that a process announces, as far as its settings and its node determine it.
 membership::member self_of(const nlohmann::json& settings, membership::role kind,
-                           const link::node& node, incarnation life);
+                           const link::node& node, incarnation process_incarnation);
 
-/// Joins the membership by the seeds of the setting `/entries`.
+/// Joins the membership, with the addresses of the setting `/entries` as seeds.
 std::unique_ptr<membership_runner> join(const nlohmann::json& settings,
                                         const membership::member& self, link::node& node,
                                         membership_hooks hooks);
--- a/dewbeam/src/entry/suspicion_wire.h
+++ b/dewbeam/src/entry/suspicion_wire.h
@@ -1,5 +1,5 @@
 /// \file
-/// Suspicions between entries: times travel as wall-clock times.
+/// Converts suspicions to and from their wire form, in which times are wall-clock times.
 #pragma once
 
 #include "dewbeam.pb.h"
--- a/dewbeam/src/entry/suspicions.cpp
+++ b/dewbeam/src/entry/suspicions.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-known_entries entries_there(const entry_state& state)
+known_entries other_entry_processes(const entry_state& state)
 {
     known_entries result;
     for (const auto& member : state.m_membership->members()) {
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-void spread_suspicions(entry_state& state, time_point now)
+void broadcast_suspicions(entry_state& state, time_point now)
 {
     for (const auto& item : state.m_pools.take_suspicions()) {
         wire::Envelope message;
@@ -37,9 +37,9 @@
     }
 }
 
-void tell_new_entries(entry_state& state, known_entries& known, time_point now)
+void send_suspicions_to_new_entries(entry_state& state, known_entries& known, time_point now)
 {
-    auto there = entries_there(state);
+    auto there = other_entry_processes(state);
     for (const auto& entry : there) {
         if (known.contains(entry)) {
             continue;
--- a/dewbeam/src/entry/suspicions.h
+++ b/dewbeam/src/entry/suspicions.h
@@ -1,5 +1,5 @@
 /// \file
-/// Contents that were running when an upstream died, as entries tell each other of them.
+/// Sends suspicions, about contents that were running when an upstream crashed, to other entries.
 #pragma once
 
 #include <set>
@@ -9,13 +9,13 @@
 
 namespace dewbeam::entry {
 
-/// The other entries that were there at the last look, each process by its incarnation.
+/// The other entries that were known at the last check: address and incarnation of each process.
 using known_entries = std::set<std::pair<std::string, incarnation>>;
 
-/// Tells the other entries of the suspicions that are new since the last call.
-void spread_suspicions(entry_state& state, time_point now);
+/// Sends the suspicions that are new since the last call to the other entries.
+void broadcast_suspicions(entry_state& state, time_point now);
 
-/// Tells all suspicions to entries that have started, or are there again after a cut.
-void tell_new_entries(entry_state& state, known_entries& known, time_point now);
+/// Sends all suspicions to entries that have started or are reachable again after a partition.
+void send_suspicions_to_new_entries(entry_state& state, known_entries& known, time_point now);
 
 }  // namespace dewbeam::entry
--- a/test/classify_test.cpp
+++ b/test/classify_test.cpp
@@ -1,4 +1,4 @@
-// Which selector a call falls under, what follows from it, and why a call is refused.
+// Classification of calls: the selector found, its effect on the request, and refusals.
 #include "dewbeam/src/entry/classify.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 constexpr const char* body = R"({"model":"ad-copy","prompt":"x"})";
 
-/// A document with one selector for each way in which requests are told apart.
+/// A document with one selector for each way in which requests are distinguished.
 json rules_json()
 {
     return json::parse(R"({
--- a/test/entry_attempts_test.cpp
+++ b/test/entry_attempts_test.cpp
@@ -1,4 +1,4 @@
-// Attempts of an entry whose links to agents are lost, or whose agents are late.
+// Attempts of an entry when links to agents are lost or agents answer late.
 #include <gtest/gtest.h>
 
 #include <condition_variable>
@@ -28,10 +28,10 @@
     return link::node::start(options, std::move(handlers)).value();
 }
 
-/// An agent that only records what it is sent.
-class silent_agent {
+/// An agent that only records the messages that it receives.
+class recording_agent {
 public:
-    explicit silent_agent(const char* host)
+    explicit recording_agent(const char* host)
         : m_node(start_node(host, {[this](const link::peer&, wire::Envelope&& message) {
                                        const std::lock_guard lock(m_mutex);
                                        m_messages.push_back(std::move(message));
@@ -43,7 +43,7 @@
 
     [[nodiscard]] const std::string& address() const { return m_node->address(); }
 
-    /// The attempt of the first message that `pick` finds one in; none after ten seconds.
+    /// The attempt of the first message in which `pick` finds one; nothing after ten seconds.
     template <class Pick>
     std::optional<attempt_id> wait_for(Pick&& pick)
     {
@@ -100,14 +100,14 @@
         agent.m_models.emplace_back("m");
         agent.m_labels.set("pool", "chat");
         agent.m_slots = 8;
-        m_state.m_members.take(agent);
+        m_state.m_members.update_member(agent);
         update_pools(m_state, agent.m_host, program::now());
     }
 
     void add_two_upstreams()
     {
-        m_first = std::make_unique<silent_agent>("a1");
-        m_second = std::make_unique<silent_agent>("a2");
+        m_first = std::make_unique<recording_agent>("a1");
+        m_second = std::make_unique<recording_agent>("a2");
         add_upstream("u1", m_first->address());
         add_upstream("u2", m_second->address());
     }
@@ -134,8 +134,8 @@
         on_message(m_state, {}, std::move(message));
     }
 
-    /// The agent tells of a silent upstream now, and for two seconds from now on.
-    void tell_silence(const request_pointer& request)
+    /// The agent reports an unresponsive upstream now and for the next two seconds.
+    void report_unresponsive_upstream(const request_pointer& request)
     {
         wire::Envelope message;
         link::to_wire(request->attempt().m_id, *message.mutable_silence()->mutable_attempt());
@@ -164,10 +164,11 @@
         deliver(std::move(message));
     }
 
-    /// One content is accepted at two agents, one after the other, and each link is lost.
-    /// `between` is called with the host of the first. Whether an upstream counts as ended by it.
+    /// Lets two agents accept the same content, one after the other, and loses each link. `between`
+    /// is called with the first host after its loss. Returns whether the content counts as having
+    /// crashed an upstream.
     template <class Between>
-    bool is_blamed_after_two_losses(Between&& between)
+    bool is_suspected_after_two_losses(Between&& between)
     {
         deliver({});
         add_two_upstreams();
@@ -176,7 +177,7 @@
             const auto owned = request->attempt();
             wire::Accepted accepted;
             link::to_wire(owned.m_id, *accepted.mutable_attempt());
-            request->take(accepted);
+            request->handle(accepted);
             lose_link(owned.m_agent_address);
             if (is_first) {
                 between(owned.m_agent_address == m_first->address() ? "u1" : "u2");
@@ -187,15 +188,15 @@
 
     program::program m_frame;
     entry_state m_state;
-    std::unique_ptr<silent_agent> m_first;
-    std::unique_ptr<silent_agent> m_second;
+    std::unique_ptr<recording_agent> m_first;
+    std::unique_ptr<recording_agent> m_second;
 };
 
-// A dispatch may go out on the connection that comes after the lost one: then no loss would tell
-// the agent, and the attempt would hold a place there for the whole of its run.
+// A dispatch may be sent on the connection that replaces the lost one. The agent then sees no loss,
+// and without a cancellation the attempt would occupy a slot there for its whole run.
 TEST_F(entry_attempts, an_attempt_that_ends_with_its_link_is_cancelled_at_its_agent)
 {
-    silent_agent agent("a1");
+    recording_agent agent("a1");
     add_upstream("u1", agent.address());
     send_request();
     const auto begun = agent.wait_for(dispatched);
@@ -206,14 +207,14 @@
 
 TEST_F(entry_attempts, an_attempt_without_any_acknowledgement_is_cancelled_at_its_agent)
 {
-    silent_agent agent("a1");
+    recording_agent agent("a1");
     add_upstream("u1", agent.address());
     const auto request = send_request();
     const auto begun = agent.wait_for(dispatched);
     ASSERT_TRUE(begun);
     const auto late = program::now() + std::chrono::seconds(2);
-    watch_deadlines(m_state, request, late);
-    watch_deadlines(m_state, request, late + std::chrono::seconds(2));
+    check_request_deadlines(m_state, request, late);
+    check_request_deadlines(m_state, request, late + std::chrono::seconds(2));
     EXPECT_EQ(agent.wait_for(cancelled), begun);
 }
 
@@ -226,12 +227,12 @@
     EXPECT_FALSE(request->is_over());
 }
 
-// Agents that stand still are found lost one after the other.
+// Links to stalled agents are found lost one after the other.
 TEST_F(entry_attempts, a_request_outlives_the_loss_of_one_link_after_the_other)
 {
-    std::vector<std::unique_ptr<silent_agent>> agents;
+    std::vector<std::unique_ptr<recording_agent>> agents;
     for (const auto* name : {"u1", "u2", "u3", "u4"}) {
-        agents.push_back(std::make_unique<silent_agent>(name));
+        agents.push_back(std::make_unique<recording_agent>(name));
         add_upstream(name, agents.back()->address());
     }
     const auto request = send_request();
@@ -262,36 +263,36 @@
     add_two_upstreams();
     const auto request = send_request();
     const auto begun = request->attempt();
-    tell_silence(request);
+    report_unresponsive_upstream(request);
     EXPECT_NE(request->attempt().m_agent_address, begun.m_agent_address);
     auto& left = begun.m_agent_address == m_first->address() ? *m_first : *m_second;
     EXPECT_EQ(left.wait_for(cancelled), begun.m_id);
 }
 
-// Begun again, it would never end: nobody waits for a second answer.
+// If it started again, the attempt would never end: nothing waits for a second answer.
 TEST_F(entry_attempts, a_request_whose_answer_has_just_come_is_not_begun_elsewhere)
 {
     add_two_upstreams();
     const auto request = send_request();
     const auto begun = request->attempt();
     request->respond({}, ledger::outcome::completed);
-    tell_silence(request);
+    report_unresponsive_upstream(request);
     EXPECT_EQ(request->attempt().m_id, begun.m_id);
 }
 
-// Its answer may yet come; ended, it would be refused.
+// Its answer may still arrive. If the attempt were ended, the request would be refused.
 TEST_F(entry_attempts, a_request_stays_at_a_silent_upstream_while_no_other_has_room)
 {
-    silent_agent agent("a1");
+    recording_agent agent("a1");
     add_upstream("u1", agent.address());
     const auto request = send_request();
     const auto begun = request->attempt();
-    tell_silence(request);
+    report_unresponsive_upstream(request);
     EXPECT_EQ(request->attempt().m_id, begun.m_id);
     EXPECT_FALSE(request->is_over());
 }
 
-// What an agent never accepted can't have ended it.
+// A content that the agent never accepted can't have crashed the upstream.
 TEST_F(entry_attempts, a_content_is_not_blamed_for_links_that_were_lost_before_it_was_accepted)
 {
     add_two_upstreams();
@@ -302,15 +303,15 @@
     EXPECT_TRUE(m_state.m_pools.take_suspicions().empty());
 }
 
-// An agent or a network that stood still for a moment shows that nothing was ended there.
+// The link may have been lost to a brief stall of the agent or the network: nothing crashed.
 TEST_F(entry_attempts, a_content_is_not_blamed_for_a_lost_link_to_an_upstream_that_goes_on)
 {
-    EXPECT_FALSE(is_blamed_after_two_losses([&](auto host) { report(host, incarnation(1)); }));
+    EXPECT_FALSE(is_suspected_after_two_losses([&](auto host) { report(host, incarnation(1)); }));
 }
 
 TEST_F(entry_attempts, a_content_is_blamed_where_the_upstream_is_not_heard_of)
 {
-    EXPECT_TRUE(is_blamed_after_two_losses([](auto) {}));
+    EXPECT_TRUE(is_suspected_after_two_losses([](auto) {}));
 }
 
 TEST_F(entry_attempts, a_content_is_blamed_where_the_upstream_began_anew_or_may_have)
@@ -320,35 +321,35 @@
         report(host, incarnation(1), 10'000);  // measured before the loss
         report(host, incarnation());           // an agent that can't tell
     };
-    EXPECT_TRUE(is_blamed_after_two_losses(between));
+    EXPECT_TRUE(is_suspected_after_two_losses(between));
 }
 
-// An agent answers a tombstone for what it runs with "unknown"; that is no end of it.
+// An agent replies "unknown" to a tombstone for a running attempt; that must not end the attempt.
 TEST_F(entry_attempts, an_accepted_attempt_goes_on_after_the_answer_to_its_tombstone)
 {
-    silent_agent agent("a1");
+    recording_agent agent("a1");
     add_upstream("u1", agent.address());
     const auto request = send_request();
     const auto owned = request->attempt();
     ASSERT_TRUE(request->begin_tombstone(program::now() + std::chrono::seconds(2)));
     wire::Accepted accepted;
     link::to_wire(owned.m_id, *accepted.mutable_attempt());
-    request->take(accepted);
+    request->handle(accepted);
     wire::TombstoneReply answer;
     link::to_wire(owned.m_id, *answer.mutable_attempt());
     answer.set_outcome(link::to_wire(ledger::outcome::unknown));
-    EXPECT_EQ(request->take(answer), chunk_effect::none);
+    EXPECT_EQ(request->handle(answer), chunk_effect::none);
     EXPECT_EQ(request->attempt().m_id, owned.m_id);
 }
 
-// An entry that was held up has not read yet what its agents sent meanwhile.
+// An entry whose event loop was delayed has not read yet what its agents sent meanwhile.
 TEST_F(entry_attempts, time_for_which_the_entry_was_held_up_does_not_count_against_the_agent)
 {
-    silent_agent agent("a1");
+    recording_agent agent("a1");
     add_upstream("u1", agent.address());
     const auto request = send_request();
     const auto late = program::now() + std::chrono::seconds(2);
-    request->put_off_deadlines(std::chrono::seconds(2), late);
+    request->extend_attempt_deadlines(std::chrono::seconds(2), late);
     EXPECT_FALSE(request->begin_tombstone(late));
     EXPECT_TRUE(request->begin_tombstone(late + std::chrono::seconds(2)));
 }
--- a/test/entry_intake_test.cpp
+++ b/test/entry_intake_test.cpp
@@ -1,5 +1,5 @@
-// What an entry takes in: ids that no other entry gives, and no place at an upstream that stays
-// taken for a request whose caller has left.
+// Intake of an entry: its ids are distinct from those of other entries, and a request whose caller
+// has disconnected doesn't keep occupying a slot at an upstream.
 #include <gtest/gtest.h>
 
 #include "dewbeam/src/entry/intake.h"
@@ -44,8 +44,8 @@
     EXPECT_EQ(m_state.m_pools.in_flight(), 0U);
 }
 
-// Two entries with the same ids would share the record of a key at control, which then lets a call
-// that must run once run twice, and each other's attempts at agents.
+// Two entries with the same ids would share the record of a key at control, which would then let a
+// non-idempotent call run twice. They would also share each other's attempts at agents.
 TEST(entry_ids, entries_that_started_at_the_same_time_give_different_ids)
 {
     auto other_settings = entry_settings();
--- a/test/entry_site.h
+++ b/test/entry_site.h
@@ -1,5 +1,5 @@
 /// \file
-/// What tests of an entry begin with: its settings, and a route for the model `m`.
+/// Fixtures for tests of an entry: its settings, and a route for the model `m`.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/test/entry_stream_test.cpp
+++ b/test/entry_stream_test.cpp
@@ -1,4 +1,4 @@
-// Streams that an entry puts together from what engines send, whatever ends their lines.
+// Streams that an entry assembles from the events of engines, with each kind of line ending.
 #include <gtest/gtest.h>
 
 #include "dewbeam/link"
@@ -10,54 +10,54 @@
 
 class entry_stream : public testing::TestWithParam<std::string> {
 protected:
-    /// Begins a request whose caller wants a stream, or a whole answer.
+    /// Starts a request whose caller wants a stream, or a non-streamed answer.
     void begin(bool is_stream)
     {
         entry_request::facts known;
         known.m_call.m_is_stream = is_stream;
         known.m_deadline = m_now + std::chrono::seconds(60);
         m_request.reset(new entry_request(std::move(known), m_answer));
-        own();
+        assign_attempt();
     }
 
-    std::optional<wire::Dispatch> own()
+    std::optional<wire::Dispatch> assign_attempt()
     {
         owned_attempt attempt;
         attempt.m_id.m_sequence = ++m_attempts;
         m_chunks = 0;
-        return m_request->own({}, std::move(attempt), {}, m_now);
+        return m_request->assign_attempt({}, std::move(attempt), {}, m_now);
     }
 
-    chunk_effect take(wire::ReplyChunk chunk)
+    chunk_effect handle(wire::ReplyChunk chunk)
     {
         link::to_wire(m_request->attempt().m_id, *chunk.mutable_attempt());
         chunk.set_sequence(m_chunks++);
-        return m_request->take(chunk, m_now);
+        return m_request->handle(chunk, m_now);
     }
 
-    void take_head()
+    void receive_head()
     {
         wire::ReplyChunk chunk;
         chunk.set_status(200);
         auto* type = chunk.add_headers();
         type->set_name("Content-Type");
         type->set_value("text/event-stream");
-        take(std::move(chunk));
+        handle(std::move(chunk));
     }
 
-    void take_data(const std::string& bytes)
+    void receive_data(const std::string& bytes)
     {
         wire::ReplyChunk chunk;
         chunk.set_data(bytes);
-        take(std::move(chunk));
+        handle(std::move(chunk));
     }
 
-    chunk_effect take_end()
+    chunk_effect receive_end()
     {
         wire::ReplyChunk chunk;
         chunk.set_last(true);
         chunk.set_outcome(link::to_wire(ledger::outcome::completed));
-        return take(std::move(chunk));
+        return handle(std::move(chunk));
     }
 
     [[nodiscard]] static std::string event(const std::string& data)
@@ -76,10 +76,10 @@
 TEST_P(entry_stream, gives_each_event_as_it_is_whole)
 {
     begin(true);
-    take_head();
-    take_data(event("a") + "data: b");
+    receive_head();
+    receive_data(event("a") + "data: b");
     EXPECT_EQ(m_answer->m_body, event("a"));
-    take_data(GetParam() + GetParam());
+    receive_data(GetParam() + GetParam());
     EXPECT_EQ(m_answer->m_body, event("a") + event("b"));
 }
 
@@ -88,9 +88,9 @@
     for (const auto& rest : {std::string(), GetParam(), ": bye" + GetParam(), std::string(": b")}) {
         m_answer = std::make_shared<test::recording_exchange>();
         begin(true);
-        take_head();
-        take_data(event("a") + event("[DONE]") + rest);
-        EXPECT_EQ(take_end(), chunk_effect::completed) << rest;
+        receive_head();
+        receive_data(event("a") + event("[DONE]") + rest);
+        EXPECT_EQ(receive_end(), chunk_effect::completed) << rest;
         EXPECT_TRUE(m_answer->m_is_finished);
         EXPECT_EQ(m_answer->m_body, event("a") + event("[DONE]") + rest);
     }
@@ -99,12 +99,12 @@
 TEST_P(entry_stream, goes_on_behind_the_last_whole_event_of_one_that_ended_inside_the_next)
 {
     begin(true);
-    take_head();
-    take_data(event("a") + event("b") + "data: c" + GetParam());
-    EXPECT_EQ(take_end(), chunk_effect::cut);
+    receive_head();
+    receive_data(event("a") + event("b") + "data: c" + GetParam());
+    EXPECT_EQ(receive_end(), chunk_effect::truncated);
     EXPECT_FALSE(m_answer->m_is_finished);
     EXPECT_EQ(m_answer->m_body, event("a") + event("b"));
-    const auto resumed = own();
+    const auto resumed = assign_attempt();
     ASSERT_TRUE(resumed);
     const auto fields = link::from_wire(resumed->headers());
     EXPECT_EQ(http::find_field(fields, "X-Resume-Offset"), "2");
@@ -113,14 +113,14 @@
 TEST_P(entry_stream, is_not_whole_either_for_a_caller_that_waits_for_all_of_it)
 {
     begin(false);
-    take_head();
-    take_data(event("a") + "data: b" + GetParam());
-    EXPECT_EQ(take_end(), chunk_effect::cut);
+    receive_head();
+    receive_data(event("a") + "data: b" + GetParam());
+    EXPECT_EQ(receive_end(), chunk_effect::truncated);
     EXPECT_FALSE(m_answer->m_is_finished);
-    own();
-    take_head();
-    take_data(event("a") + event("b") + GetParam());
-    EXPECT_EQ(take_end(), chunk_effect::completed);
+    assign_attempt();
+    receive_head();
+    receive_data(event("a") + event("b") + GetParam());
+    EXPECT_EQ(receive_end(), chunk_effect::completed);
     EXPECT_EQ(m_answer->m_body, event("a") + event("b") + GetParam());
 }
 
--- a/test/membership_runner_test.cpp
+++ b/test/membership_runner_test.cpp
@@ -94,7 +94,7 @@
     std::unique_ptr<link::node> m_node;
 };
 
-/// Ticks all until `is_done`, for as long as a slow machine may need.
+/// Ticks all processes until `is_done`, for at most 30 s.
 template <class Condition>
 bool eventually(const std::vector<process*>& all, Condition is_done)
 {
@@ -121,7 +121,7 @@
     membership::member_load load;
     load.m_running = 17;
     EXPECT_TRUE(eventually(all, [&] {
-        second.m_runner->want_reports(4);
+        second.m_runner->request_load_reports(4);
         agent.m_runner->report(load, incarnation(3), clock_now());
         return second.m_running == 17 && second.m_upstream_life == 3;
     }));
@@ -134,8 +134,8 @@
     EXPECT_TRUE(first.m_runner->reach_json(clock_now())["hears_own_domain"].get<bool>());
 }
 
-// Guards against an upstream that is avoided for good: two threads that learn of a member one after
-// the other must not tell the program in the other order.
+// Guards against an upstream that is avoided forever: changes of a member that two threads receive
+// one after the other must not be delivered to the program in the reverse order.
 TEST(membership_runner, changes_are_told_in_the_order_in_which_they_were_learned)
 {
     membership::member agent;
--- a/test/refusals_test.cpp
+++ b/test/refusals_test.cpp
@@ -1,4 +1,4 @@
-// What callers are told when a request is refused.
+// The errors that callers receive when a request is refused.
 #include "dewbeam/src/entry/refusals.h"
 
 #include <gtest/gtest.h>
