--- a/dewbeam/src/entry/refusals.cpp
+++ b/dewbeam/src/entry/refusals.cpp
@@ -19,9 +19,10 @@
             return {503, "upstream_error", "no upstream that can serve this request is there",
                     run_outcome::not_run};
         case dispatch::refusal::overloaded:
-            return {429, "overloaded_error", "the upstreams are overloaded", run_outcome::not_run};
+            return {429, "overloaded_error", "there is more work than the upstreams can do",
+                    run_outcome::not_run};
         case dispatch::refusal::deadline_passed:
-            return {504, "timeout_error", "the deadline passed before the request could start",
+            return {504, "timeout_error", "the request's time ran out before it could begin",
                     run_outcome::not_run};
         case dispatch::refusal::retries_exhausted:
             return {503, "upstream_error", "no upstream took the request", run_outcome::not_run};
@@ -32,8 +33,8 @@
         case dispatch::refusal::quarantined:
             break;
     }
-    return {503, "quarantine_error",
-            "requests with this content crashed the upstreams that ran them", run_outcome::not_run};
+    return {503, "quarantine_error", "requests with this content ended their upstreams",
+            run_outcome::not_run};
 }
 
 /// The error for a request that some upstream may have run: the status must not promise that none
@@ -78,7 +79,7 @@
 
 caller::error not_authorized()
 {
-    auto fault = caller::bad_request("not_authorized", "a valid bearer token is required");
+    auto fault = caller::bad_request("not_authorized", "a valid bearer token is needed");
     fault.m_status = 401;
     fault.m_type = "authentication_error";
     fault.m_outcome = caller::run_outcome::not_run;
@@ -87,9 +88,9 @@
 
 caller::error unknown_workspace()
 {
-    auto fault =
-        caller::bad_request("unknown_workspace", "the configuration has no workspace of this name",
-                            "X-Dewbeam-Workspace");
+    auto fault = caller::bad_request("unknown_workspace",
+                                     "there is no workspace of this name in the configuration",
+                                     "X-Dewbeam-Workspace");
     fault.m_outcome = caller::run_outcome::not_run;
     return fault;
 }
@@ -109,7 +110,7 @@
     fault.m_status = 504;
     fault.m_type = "timeout_error";
     fault.m_code = "deadline_exceeded";
-    fault.m_message = "the deadline passed while the request was running";
+    fault.m_message = "the request's time ran out while it was running";
     fault.m_outcome = caller::run_outcome::unknown;
     return fault;
 }
@@ -120,7 +121,7 @@
     fault.m_status = 502;
     fault.m_type = "upstream_error";
     fault.m_code = "broken_stream";
-    fault.m_message = "the upstream's answer was interrupted and can't be resumed";
+    fault.m_message = "the upstream's answer broke off and can't be continued";
     fault.m_outcome = caller::run_outcome::unknown;
     return fault;
 }
@@ -169,7 +170,7 @@
     fault.m_status = may_have_run ? 504 : 503;
     fault.m_type = "upstream_error";
     fault.m_code = "stopping";
-    fault.m_message = "this entry is shutting down before the request can be finished";
+    fault.m_message = "this entry stops before the request can be finished";
     fault.m_outcome = may_have_run ? caller::run_outcome::unknown : caller::run_outcome::not_run;
     if (!may_have_run) {
         fault.m_retry_after = std::chrono::milliseconds(100);  // another entry can serve it
@@ -183,7 +184,7 @@
     fault.m_status = 503;
     fault.m_type = "upstream_error";
     fault.m_code = "not_ready";
-    fault.m_message = "this entry is not ready to accept requests";
+    fault.m_message = "this entry does not take requests now";
     fault.m_outcome = caller::run_outcome::not_run;
     fault.m_retry_after = std::chrono::seconds(1);
     return fault;
