--- a/bench/admission_bench.cpp
+++ b/bench/admission_bench.cpp
@@ -19,8 +19,8 @@
 /// Sizes of one workload.
 struct workload {
     const char* m_name;
-    double m_rate;               ///< requests a second
-    std::int64_t m_most_prompt;  ///< the least is a quarter of it
+    double m_rate;              ///< requests a second
+    std::int64_t m_max_prompt;  ///< the least is a quarter of it
     std::int64_t m_bound;
     double m_used_share;  ///< mean share of the bound that is really produced
 };
@@ -88,7 +88,7 @@
     {
         engine_model::engine_request request;
         request.m_number = ++m_sent;
-        const auto quarter = m_load.m_most_prompt / 4;
+        const auto quarter = m_load.m_max_prompt / 4;
         request.m_prompt = quarter + static_cast<std::int64_t>(uniform_below(
                                          m_random, static_cast<std::uint64_t>(3 * quarter)));
         const double mean = m_load.m_used_share * static_cast<double>(m_load.m_bound);
--- a/bench/fairness_bench.cpp
+++ b/bench/fairness_bench.cpp
@@ -156,7 +156,7 @@
 {
     dispatch::broker_options options;
     options.m_failure_domain = failure_domain_id("domain-0");
-    options.m_entries_sharing = entries;
+    options.m_sharing_entry_count = entries;
     options.m_classes.m_ordinary_floor = ordinary_floor;
     return {broker_policy(options), true};
 }
@@ -180,7 +180,7 @@
 }
 
 /// Work of the small workspaces, the least of them over what its weight gives it.
-double least_of_weight(const result& run)
+double min_of_weight(const result& run)
 {
     double least = 1e9;
     const double fair = run.m_ordinary_work / static_cast<double>(workspaces);
@@ -204,7 +204,7 @@
             {"urgent_ttft_p99_ms_unloaded", 1000 * percentile(calm.m_urgent_ttft, 0.99)},
             {"urgent_ttft_p99_to_unloaded",
              percentile(busy.m_urgent_ttft, 0.99) / percentile(calm.m_urgent_ttft, 0.99)},
-            {"small_workspace_least_of_weight", least_of_weight(busy)},
+            {"small_workspace_least_of_weight", min_of_weight(busy)},
             {"ordinary_share_in_urgent_flood", flood.m_ordinary_work / total},
             {"retries_of_first_tries", retries(busy)},
             {"retries_of_first_tries_in_urgent_flood", retries(flood)},
--- a/bench/group_map_bench.cpp
+++ b/bench/group_map_bench.cpp
@@ -18,7 +18,7 @@
 
 constexpr time_span step_time = milliseconds(5);
 constexpr time_span order_delay = microseconds(200);
-constexpr time_span longest_delay = milliseconds(1);
+constexpr time_span max_delay = milliseconds(1);
 
 double seconds_since(std::chrono::steady_clock::time_point start)
 {
@@ -74,7 +74,7 @@
 
     time_span message_delay()
     {
-        return microseconds(100 + uniform_below(m_random, longest_delay.count() - 100));
+        return microseconds(100 + uniform_below(m_random, max_delay.count() - 100));
     }
 
     void carry_out(const group_map::coordinator_effects& effects)
--- a/bench/overload_bench.cpp
+++ b/bench/overload_bench.cpp
@@ -19,7 +19,7 @@
 constexpr double time_limit = 10.0;      ///< seconds a caller waits for its whole answer
 constexpr double obedient_share = 0.6;   ///< callers who come back when they are told to
 constexpr double impatient_share = 0.2;  ///< callers who come back after a second, whatever is said
-constexpr int most_returns = 5;
+constexpr int max_returns = 5;
 constexpr double impatient_seconds = 1.0;
 constexpr double stall_at = 60.0;
 constexpr double stall_seconds = 10.0;
@@ -94,7 +94,7 @@
         ++m_result.m_sent;
         request.m_on_end = [this, returns, patience, sent](const outcome& end) {
             note(end, sent);
-            if (end.m_is_completed || returns >= most_returns) {
+            if (end.m_is_completed || returns >= max_returns) {
                 return;
             }
             if (patience < obedient_share) {
@@ -132,7 +132,7 @@
 {
     dispatch::broker_options options;
     options.m_failure_domain = failure_domain_id("domain-0");
-    options.m_entries_sharing = entries;
+    options.m_sharing_entry_count = entries;
     return broker_policy(options);
 }
 
--- a/bench/planning_common/rank_site.cpp
+++ b/bench/planning_common/rank_site.cpp
@@ -147,7 +147,7 @@
     };
     subject.m_ticks_at = phase(ranks::tick_interval);
     subject.m_schedule.m_last = phase(milliseconds(500));
-    subject.m_courier = group::make_courier("group", rank_id(rank), m_options.m_ranks);
+    subject.m_group_router = group::make_group_router("group", rank_id(rank), m_options.m_ranks);
     if (rank == 0) {
         m_coordinator = group_map::make_coordinator(options.m_coordinator);
     }
@@ -207,7 +207,7 @@
     auto& subject = m_hosts[rank];
     subject.m_ticks_at = m_now + ranks::tick_interval;
     carry_out(rank, group_map::tick(subject.m_participant, m_now));
-    carry_out(rank, group::flush(subject.m_courier));
+    carry_out(rank, group::flush(subject.m_group_router));
     if (ranks::take_turn(subject.m_schedule, m_now)) {
         tell(rank);
     }
@@ -223,8 +223,8 @@
 void rank_site::tell(std::uint32_t rank)
 {
     auto& subject = m_hosts[rank];
-    const auto pace = ranks::pace_of(group::tellers(m_options.m_ranks), subject.m_counts.size(),
-                                     m_options.m_link_rate);
+    const auto pace = ranks::report_parameters_for(group::reporter_count(m_options.m_ranks),
+                                                   subject.m_counts.size(), m_options.m_link_rate);
     subject.m_schedule.m_interval = pace.m_interval;
     const auto& state = subject.m_engine.m_state;
     ranks::rank_counts counted{1, state.m_step.value(), subject.m_counts};
@@ -236,7 +236,7 @@
     message.set_from_rank(rank);
     *message.mutable_counts() =
         ranks::to_wire(rank_id(rank), counted, holding, 1.0, pace.m_bits, subject.m_told);
-    send(rank, subject.m_courier.m_reports_through.value_or(rank_id(0)).value(),
+    send(rank, subject.m_group_router.m_report_relay.value_or(rank_id(0)).value(),
          std::move(message));
 }
 
@@ -291,8 +291,8 @@
     }
     carry_out(item.m_rank,
               message != nullptr
-                  ? group::take(subject.m_courier, *message)
-                  : group::take(subject.m_courier, std::get<wire::GroupBundle>(item.m_body)));
+                  ? group::take(subject.m_group_router, *message)
+                  : group::take(subject.m_group_router, std::get<wire::GroupBundle>(item.m_body)));
 }
 
 bool rank_site::propose(const std::string& content)
@@ -333,7 +333,7 @@
         }
         commands.push_back({std::move(sent), message.m_is_repeat, message.m_is_sign_of_life});
     }
-    carry_out(0, group::send_commands(m_hosts[0].m_courier, std::move(commands), m_now));
+    carry_out(0, group::send_commands(m_hosts[0].m_group_router, std::move(commands), m_now));
     if (effects.m_change.m_result != group_map::change_result::none) {
         m_figures.m_changes +=
             effects.m_change.m_result == group_map::change_result::committed ? 1 : 0;
@@ -349,14 +349,14 @@
                     fake_engine::obey(engine, *effects.m_order, m_now)});
     }
     if (effects.m_report) {
-        carry_out(rank, group::send_report(m_hosts[rank].m_courier,
+        carry_out(rank, group::send_report(m_hosts[rank].m_group_router,
                                            group::to_wire("group", *effects.m_report)));
     }
 }
 
-void rank_site::carry_out(std::uint32_t rank, group::deliveries out)
+void rank_site::carry_out(std::uint32_t rank, group::routing_result out)
 {
-    for (auto& item : out.m_parcels) {
+    for (auto& item : out.m_outgoing) {
         std::visit([&](auto& body) { send(rank, item.m_to.value(), std::move(body)); },
                    item.m_body);
     }
--- a/bench/planning_common/rank_site.h
+++ b/bench/planning_common/rank_site.h
@@ -15,7 +15,7 @@
 #include "dewbeam/fake_engine"
 #include "dewbeam/group_map"
 #include "dewbeam/src/group/content_codec.h"
-#include "dewbeam/src/group/courier.h"
+#include "dewbeam/src/group/group_router.h"
 #include "dewbeam/src/ranks/count_message.h"
 #include "dewbeam/src/ranks/count_relay.h"
 #include "dewbeam/src/ranks/count_schedule.h"
@@ -73,10 +73,10 @@
         group_map::participant m_participant;
         fake_engine::rank_engine m_engine;
         std::vector<std::uint64_t> m_counts;  ///< as its engine counts
-        ranks::told_counts m_told;
+        ranks::reported_counts m_told;
         ranks::count_schedule m_schedule;
         ranks::count_relay m_relay;
-        group::courier m_courier;
+        group::group_router m_group_router;
         group::content_codec m_contents;
         time_point m_ticks_at{};
         time_point m_sends_from{};     ///< its link is free to send from then on
@@ -109,7 +109,7 @@
     bool propose(const std::string& content);
     void carry_out(const group_map::coordinator_effects& effects);
     void carry_out(std::uint32_t rank, const group_map::participant_effects& effects);
-    void carry_out(std::uint32_t rank, group::deliveries out);
+    void carry_out(std::uint32_t rank, group::routing_result out);
     void take(std::uint32_t rank, const wire::GroupMessage& message);
     void take_counts(std::uint32_t rank, const wire::GroupMessage& message);
     void tell_relayed(std::uint32_t rank);
--- a/bench/poison_bench.cpp
+++ b/bench/poison_bench.cpp
@@ -20,7 +20,7 @@
 constexpr double poison_period = 30.0;
 constexpr int poisons = 3;
 constexpr int most_resends = 20;
-constexpr int most_innocent_resends = 5;
+constexpr int max_innocent_resends = 5;
 constexpr double time_limit = 30.0;
 constexpr double non_idempotent_share = 0.05;
 constexpr std::uint64_t seeds[] = {41, 42, 43, 44, 45};
@@ -96,7 +96,7 @@
         }
         ++m_result.m_innocents;
         send_innocent(m_result.m_innocents, uniform_unit(m_random) >= non_idempotent_share,
-                      most_innocent_resends);
+                      max_innocent_resends);
         m_time.after(from_seconds(exponential(m_random, 1.0 / innocents_a_second)),
                      [this] { next_innocent(); });
     }
@@ -176,7 +176,7 @@
 {
     dispatch::broker_options own;
     own.m_failure_domain = failure_domain_id("domain-0");
-    own.m_entries_sharing = entries;
+    own.m_sharing_entry_count = entries;
     baseline_options none;
     none.m_pick = pick::round_robin;
     none.m_most_tries = 3;
--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -14,7 +14,7 @@
 constexpr double warm_seconds = 20.0;
 constexpr std::size_t workspaces = 10;
 constexpr std::int64_t block_tokens = 64;
-constexpr std::size_t most_turns = 7;
+constexpr std::size_t max_turns = 7;
 constexpr std::uint64_t seeds[] = {11, 12, 13};
 
 /// One workload: chats with shared prefixes, or the same sizes with nothing to reuse.
@@ -91,7 +91,7 @@
         chat.m_random.seed(combine_hash(m_seed, chat.m_key));
         chat.m_workspace = draw_zipf(chat.m_random, workspaces);
         chat.m_tokens = system_tokens(chat.m_workspace) + draw(chat.m_random, 64, 512);
-        chat.m_turns_left = 1 + uniform_below(chat.m_random, most_turns);
+        chat.m_turns_left = 1 + uniform_below(chat.m_random, max_turns);
         send(chat);
         m_time.after(from_seconds(exponential(m_random, 1.0 / m_load.m_sessions_a_second)),
                      [this] { next_session(); });
@@ -202,7 +202,7 @@
     }
     dispatch::broker_options options;
     options.m_failure_domain = failure_domain_id("domain-0");
-    options.m_entries_sharing = 4;
+    options.m_sharing_entry_count = 4;
     result["dewbeam"] = measure(load, broker_policy(options));
     result["p95_to_best_baseline"] = result["dewbeam"]["ttft_p95_ms"].get<double>() / best;
     return result;
--- a/dewbeam/src/dispatch/broker.cpp
+++ b/dewbeam/src/dispatch/broker.cpp
@@ -6,7 +6,7 @@
 
 #include "dewbeam/src/dispatch/group_gate.h"
 #include "dewbeam/src/dispatch/permits.h"
-#include "dewbeam/src/dispatch/request_life.h"
+#include "dewbeam/src/dispatch/request_lifecycle.h"
 #include "dewbeam/src/dispatch/serve.h"
 
 namespace dewbeam::dispatch {
@@ -15,12 +15,12 @@
 
 using configuration::work_class;
 
-constexpr time_span longest_tick = std::chrono::milliseconds(50);
+constexpr time_span max_tick = std::chrono::milliseconds(50);
 /// After an upstream answered `not_run`, nothing is dispatched to it for this time.
 constexpr time_span refusal_pause = std::chrono::milliseconds(50);
 constexpr double block_gain = 0.01;
-/// Share of the `is_outrun` margin that applies to a group found to make no progress: its upstreams
-/// are unlikely to answer first, so a shorter margin is enough.
+/// Share of the `is_overtaken` margin that applies to a group found to make no progress: its
+/// upstreams are unlikely to answer first, so a shorter margin is enough.
 constexpr double margin_share_of_stalled_group = 0.4;
 /// Slots are reserved for urgent work for this time after the last urgent request, so that a pool
 /// that serves only ordinary work loses none.
@@ -33,7 +33,7 @@
     if (const auto reason = refusal_if_unservable(state, request, now)) {
         return reason;
     }
-    const auto permit_at = now + shortest_permit_wait(state, *request.m_route, now);
+    const auto permit_at = now + min_permit_wait(state, *request.m_route, now);
     if (permit_at > std::min(request.m_info.m_deadline, request.m_info.m_wait_deadline)) {
         return refusal::overloaded;
     }
@@ -46,20 +46,20 @@
 }
 
 /// Until when a request waits for its next attempt. A request that has sent nothing to its caller
-/// keeps its own wait deadline, extended to at least `shortest_wait` from now so that it can try
+/// keeps its own wait deadline, extended to at least `min_wait_time` from now so that it can try
 /// the other upstreams.
 time_point retry_wait_deadline(const broker& state, const pending_request& request, time_point now)
 {
-    constexpr time_span shortest_wait = std::chrono::milliseconds(100);
-    const auto max_retry_deadline = now + state.m_options.m_longest_retry_wait;
+    constexpr time_span min_wait_time = std::chrono::milliseconds(100);
+    const auto max_retry_deadline = now + state.m_options.m_max_retry_wait;
     if (request.m_route->m_able == 0 && may_regain_member(state.m_table, *request.m_route, now)) {
-        return now + state.m_options.m_longest_doubt;
+        return now + state.m_options.m_max_doubt;
     }
     if (request.m_was_answered) {
         return max_retry_deadline;
     }
     return std::min(max_retry_deadline,
-                    std::max(request.m_info.m_wait_deadline, now + shortest_wait));
+                    std::max(request.m_info.m_wait_deadline, now + min_wait_time));
 }
 
 /// Handles a failed attempt: the request waits for a retry or as a crash suspect, or is refused.
@@ -89,7 +89,7 @@
         ++request.m_unreached;
     }
     else if (request.m_attempts - request.m_busy_refusals - request.m_unreached >=
-                 most_attempts(state, request) ||
+                 max_attempts_of(state, request) ||
              !retry::take_retry(state.m_retry_budget)) {
         refuse_request(state, request, refusal::retries_exhausted, now, random, result);
         return;
@@ -102,13 +102,13 @@
     wait_for_retry(state, request, waits_until);
 }
 
-void note_death(broker& state, const pending_request& request, time_point now)
+void note_crash(broker& state, const pending_request& request, time_point now)
 {
     if (request.m_info.m_fingerprint == fingerprint{}) {
         return;
     }
     const auto& upstream = *state.m_table.m_upstreams[request.m_running_on];
-    state.m_new_suspicions.push_back(quarantine::note_death(
+    state.m_new_suspicions.push_back(quarantine::note_crash(
         state.m_suspicions, request.m_info.m_fingerprint,
         {upstream.m_info.m_name, request.m_running_incarnation, now, request.m_runs_isolated}));
 }
@@ -258,7 +258,7 @@
         clear_suspicion(state, subject.m_info.m_fingerprint, now);
     }
     if (end == attempt_end::upstream_died) {
-        note_death(state, subject, now);
+        note_crash(state, subject, now);
     }
     if (retry::is_never_begun(end)) {
         note_not_run(state, subject, now);
@@ -331,7 +331,7 @@
     for (const auto& [name, index] : state.m_table.m_names) {
         refresh(state.m_table, options_of(state), index, now);
     }
-    if (const auto held_up = begin_turn(state.m_ticks, now, longest_tick);
+    if (const auto held_up = begin_turn(state.m_ticks, now, max_tick);
         held_up > time_span::zero()) {
         extend_stall_deadlines(state.m_group_progress, held_up, now);
     }
@@ -375,7 +375,7 @@
     return close_group(state.m_table, options_of(state), group, now);
 }
 
-bool is_outrun(const broker& state, ticket request, time_span margin)
+bool is_overtaken(const broker& state, ticket request, time_span margin)
 {
     const auto place = state.m_requests.find(request);
     if (place == state.m_requests.end()) {
@@ -392,7 +392,8 @@
     return subject.m_dispatched_at + least < state.m_latest_answered_dispatch;
 }
 
-actions upstream_is_silent(broker& state, ticket request, time_point now, random_engine& random)
+actions note_unresponsive_upstream(broker& state, ticket request, time_point now,
+                                   random_engine& random)
 {
     actions result;
     const auto place = state.m_requests.find(request);
@@ -407,12 +408,12 @@
 
 void set_sharing(broker& state, std::uint32_t entries, const retry::budget_options& retries)
 {
-    state.m_options.m_entries_sharing = std::max(1U, entries);
+    state.m_options.m_sharing_entry_count = std::max(1U, entries);
     state.m_options.m_retries = retries;
     state.m_retry_budget.m_tokens = std::min(state.m_retry_budget.m_tokens, retries.m_burst);
 }
 
-std::vector<std::string> take_still_groups(broker& state)
+std::vector<std::string> take_stalled_groups(broker& state)
 {
     return std::exchange(state.m_new_stalled_groups, {});
 }
@@ -447,8 +448,8 @@
     return {wanted.begin(), wanted.end()};
 }
 
-actions set_turns(broker& state, const std::vector<fingerprint>& granted, bool is_cut_off,
-                  time_point now, random_engine& random)
+actions set_exclusive_grants(broker& state, const std::vector<fingerprint>& granted,
+                             bool is_cut_off, time_point now, random_engine& random)
 {
     actions result;
     state.m_is_cut_off = is_cut_off;
@@ -465,7 +466,7 @@
     return result;
 }
 
-void suspend_turn(broker& state, fingerprint content)
+void suspend_exclusive_grant(broker& state, fingerprint content)
 {
     const auto grant = state.m_exclusive_grants.find(content);
     if (grant != state.m_exclusive_grants.end()) {
--- a/dewbeam/src/dispatch/broker.h
+++ b/dewbeam/src/dispatch/broker.h
@@ -21,7 +21,7 @@
 #include "dewbeam/permits"
 #include "dewbeam/quarantine"
 #include "dewbeam/src/dispatch/choose.h"
-#include "dewbeam/src/dispatch/group_pulse.h"
+#include "dewbeam/src/dispatch/group_progress.h"
 #include "dewbeam/src/dispatch/request.h"
 #include "dewbeam/src/dispatch/route_table.h"
 #include "dewbeam/turns"
@@ -32,16 +32,17 @@
 struct broker_options {
     failure_domain_id m_failure_domain;
     std::size_t m_most_queued = 10'000;
-    std::uint32_t m_entries_sharing = 1;  ///< number of entries that dispatch to the same upstreams
-    host_id m_entry;                      ///< this entry; determines its subset of upstreams
-    std::size_t m_subset_size = 64;       ///< per route, in the own domain and again elsewhere
+    std::uint32_t m_sharing_entry_count =
+        1;                           ///< number of entries that dispatch to the same upstreams
+    host_id m_entry;                 ///< this entry; determines its subset of upstreams
+    std::size_t m_subset_size = 64;  ///< per route, in the own domain and again elsewhere
     choice_options m_choice;
     health_options m_health;
     /// Max time that a request waits for an upstream with room before it is sent again.
-    time_span m_longest_retry_wait = std::chrono::seconds(1);
+    time_span m_max_retry_wait = std::chrono::seconds(1);
     /// Max time that requests wait for upstreams that are out of contact if no others are
     /// available. Longer than membership takes to distinguish a crashed member from a late one.
-    time_span m_longest_doubt = std::chrono::milliseconds(2500);
+    time_span m_max_doubt = std::chrono::milliseconds(2500);
     fairness::class_options m_classes;
     admission::queue_options m_queue;  ///< its `m_most_queued` is the one above
     retry::budget_options m_retries;
@@ -56,12 +57,12 @@
     double m_isolated_share = 0.25;  ///< max share of a route's upstreams that run suspects
     /// Delay before a suspect may start, so that crash reports of other entries arrive first.
     /// Longer than a suspicion takes from entry to entry.
-    time_span m_suspect_pause = std::chrono::milliseconds(200);
+    time_span m_suspect_start_delay = std::chrono::milliseconds(200);
     quarantine::quarantine_options m_quarantine;
     /// Suspects run beside other requests, but only one copy at a time over all processes, under
     /// exclusive grants that the program obtains (`wanted_turns`). Off: each suspect runs in
     /// isolation, on an upstream that is held for it.
-    bool m_suspects_take_turns = false;
+    bool m_suspects_run_exclusively = false;
 };
 
 /// This process's exclusive grant to run a suspected content.
@@ -146,13 +147,14 @@
 /// Whether a running request is late through its upstream's own fault: a request that was
 /// dispatched more than `margin` after it already has its first token. At a group that makes no
 /// progress, a fixed share of that margin is enough.
-bool is_outrun(const broker& state, ticket request, time_span margin);
+bool is_overtaken(const broker& state, ticket request, time_span margin);
 
 /// Reports that the upstream of a running request is unresponsive; must be repeated every half
 /// second while that lasts. An idempotent request is dispatched again as soon as an upstream has
 /// room that it was not sent to before; the caller of the broker then ends the previous attempt.
 /// Until then, or until the upstream responds again, the request stays where it is.
-actions upstream_is_silent(broker& state, ticket request, time_point now, random_engine& random);
+actions note_unresponsive_upstream(broker& state, ticket request, time_point now,
+                                   random_engine& random);
 
 /// How many further permits each rate-limited upstream needs; the count may be zero.
 std::vector<permits::demand> wanted_permits(const broker& state, time_point now);
@@ -165,7 +167,7 @@
 void set_sharing(broker& state, std::uint32_t entries, const retry::budget_options& retries);
 
 /// Takes the groups found stalled since the last call. Each is closed until it makes progress.
-std::vector<std::string> take_still_groups(broker& state);
+std::vector<std::string> take_stalled_groups(broker& state);
 
 /// Takes the suspicions that are new since the last call, to be sent to the other entries at once.
 std::vector<quarantine::suspicion> take_suspicions(broker& state);
@@ -179,12 +181,12 @@
 
 /// Sets the exclusive grants that this process has now. A process that is cut off from those who
 /// issue grants runs contents with at most one upstream crash, and refuses those with more.
-actions set_turns(broker& state, const std::vector<fingerprint>& granted, bool is_cut_off,
-                  time_point now, random_engine& random);
+actions set_exclusive_grants(broker& state, const std::vector<fingerprint>& granted,
+                             bool is_cut_off, time_point now, random_engine& random);
 
 /// Suspends the exclusive grant that this process has for a content: no further run starts under
 /// it, since the outcome of the last run is not known yet.
-void suspend_turn(broker& state, fingerprint content);
+void suspend_exclusive_grant(broker& state, fingerprint content);
 
 /// Lifts a quarantine for an operator. `take_suspicions` returns the record for the other entries.
 void lift_quarantine(broker& state, fingerprint content, time_point now);
--- a/dewbeam/src/dispatch/group_pulse.cpp
+++ b/dewbeam/src/dispatch/group_progress.cpp
@@ -1,4 +1,4 @@
-#include "dewbeam/src/dispatch/group_pulse.h"
+#include "dewbeam/src/dispatch/group_progress.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,7 +17,7 @@
 {
     auto result = time_span::zero();
     for (const auto& request : upstream.m_running) {
-        const auto stream_max_pause = request.m_info.m_most_pause;
+        const auto stream_max_pause = request.m_info.m_max_pause_time;
         const bool is_writing = request.m_has_first_token && stream_max_pause > time_span::zero();
         if (is_writing && (result == time_span::zero() || stream_max_pause < result)) {
             result = stream_max_pause;
--- a/dewbeam/src/dispatch/health.cpp
+++ b/dewbeam/src/dispatch/health.cpp
@@ -9,7 +9,7 @@
 
 constexpr double time_gain = 0.2;
 /// Times vary by request; a ratio below this is not attributed to the upstream.
-constexpr double least_ratio = 1.8;
+constexpr double min_ratio = 1.8;
 /// Seconds after which a measured ratio's excess over 1 has decayed to about a third.
 constexpr double ratio_lifetime = 2.0;
 constexpr double largest_ratio = 10.0;
@@ -42,10 +42,10 @@
     if (state.m_closed_until > now) {
         return false;
     }
-    const bool is_bad_share = state.m_results >= options.m_least_results &&
-                              state.m_failures > options.m_most_failure_share * state.m_results;
+    const bool is_bad_share = state.m_results >= options.m_min_results &&
+                              state.m_failures > options.m_max_failure_share * state.m_results;
     const bool is_certain = how == upstream_result::unreachable;
-    if (state.m_in_a_row < options.m_most_in_a_row && !is_bad_share && !is_certain) {
+    if (state.m_in_a_row < options.m_max_consecutive && !is_bad_share && !is_certain) {
         return false;
     }
     constexpr std::uint32_t most_doublings = 8;
@@ -53,7 +53,7 @@
     state.m_closed_until = now + std::min<time_span>(pause, options.m_longest_pause);
     ++state.m_pauses;
     // After the pause a single failure closes it again.
-    state.m_in_a_row = options.m_most_in_a_row - 1;
+    state.m_in_a_row = options.m_max_consecutive - 1;
     return true;
 }
 
@@ -70,7 +70,7 @@
         return 1.0;
     }
     const double ratio = std::min(state.m_seconds / pool.m_seconds, largest_ratio);
-    if (ratio < least_ratio) {
+    if (ratio < min_ratio) {
         return 1.0;
     }
     const double fading =
--- a/dewbeam/src/dispatch/health.h
+++ b/dewbeam/src/dispatch/health.h
@@ -16,11 +16,11 @@
 struct health_options {
     /// Number of consecutive failures that close an upstream. Two may be a single broken connection
     /// and its retry.
-    std::uint32_t m_most_in_a_row = 3;
-    /// A larger share of failures closes it, once there are `m_least_results` results. Twice the
+    std::uint32_t m_max_consecutive = 3;
+    /// A larger share of failures closes it, once there are `m_min_results` results. Twice the
     /// share of lost or corrupt answers of an upstream that is otherwise worth using.
-    double m_most_failure_share = 0.25;
-    double m_least_results = 4.0;
+    double m_max_failure_share = 0.25;
+    double m_min_results = 4.0;
     time_span m_first_pause = std::chrono::milliseconds(500);
     time_span m_longest_pause = std::chrono::seconds(4);
     /// Time after which results count half.
--- a/dewbeam/src/dispatch/permits.cpp
+++ b/dewbeam/src/dispatch/permits.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "dewbeam/permits"
-#include "dewbeam/src/dispatch/request_life.h"
+#include "dewbeam/src/dispatch/request_lifecycle.h"
 #include "dewbeam/src/dispatch/serve.h"
 
 namespace dewbeam::dispatch {
@@ -12,7 +12,7 @@
 
 /// One permit stays requested for this long after a request, so that the next one need not wait.
 constexpr time_span demand_span = std::chrono::seconds(1);
-constexpr std::size_t most_wanted = 4;
+constexpr std::size_t max_requested = 4;
 
 std::size_t waiting_for(const route& subject)
 {
@@ -30,14 +30,14 @@
         held.begin(), held.end(), [&](time_point deadline) { return deadline > now; }));
 }
 
-/// Permits that the waiting requests of the upstream's routes could use, up to `most_wanted`.
+/// Permits that the waiting requests of the upstream's routes could use, up to `max_requested`.
 std::size_t demand_of(const broker& state, const upstream_state& upstream, time_point now)
 {
     std::size_t result = state.m_last_submit + demand_span > now ? 1 : 0;
     for (const auto* subject : upstream.m_routes) {
         result = std::max(result, waiting_for(*subject));
     }
-    return std::min(result, most_wanted);
+    return std::min(result, max_requested);
 }
 
 }  // namespace
@@ -56,7 +56,7 @@
     }
 }
 
-time_span shortest_permit_wait(const broker& state, const route& subject, time_point now)
+time_span min_permit_wait(const broker& state, const route& subject, time_point now)
 {
     double rate = 0.0;
     std::size_t held = 0;
--- a/dewbeam/src/dispatch/permits.h
+++ b/dewbeam/src/dispatch/permits.h
@@ -14,6 +14,6 @@
 
 /// Lower bound on the wait of a new request for a permit, reached if no other entry requests any.
 /// Zero if an available upstream of the route has no rate limit.
-time_span shortest_permit_wait(const broker& state, const route& subject, time_point now);
+time_span min_permit_wait(const broker& state, const route& subject, time_point now);
 
 }  // namespace dewbeam::dispatch
--- a/dewbeam/src/dispatch/request.h
+++ b/dewbeam/src/dispatch/request.h
@@ -37,8 +37,8 @@
     std::string m_group;        ///< lock-step group that it belongs to; empty: none
     std::uint32_t m_slots = 1;  ///< requests that it runs concurrently
     bool m_leaving = false;
-    bool m_is_stalled = false;  ///< its group is stalled: nothing starts there now
-    bool m_is_doubted = false;  ///< out of contact: it may be late, or removed
+    bool m_is_stalled = false;         ///< its group is stalled: nothing starts there now
+    bool m_is_out_of_contact = false;  ///< out of contact: it may be late, or removed
     time_point m_lease_deadline = no_deadline;
     /// Requests per second from all entries together. If set, each request needs a permit.
     std::optional<double> m_rate_limit;
@@ -67,8 +67,9 @@
     /// If dispatched later than this, its first token will probably miss its latency objective. It
     /// then waits behind all requests of its class that can still meet theirs.
     time_point m_prompt_deadline = no_deadline;
-    time_span m_most_pause = time_span::zero();  ///< between two events of a stream; zero: no limit
-    std::uint32_t m_most_attempts = 0;           ///< 0: the broker's default
+    time_span m_max_pause_time =
+        time_span::zero();              ///< between two events of a stream; zero: no limit
+    std::uint32_t m_most_attempts = 0;  ///< 0: the broker's default
     bool m_pinned_first = false;  ///< prefer `m_first`: the upstream that an earlier attempt named
     upstream_id m_first;
 };
--- a/dewbeam/src/dispatch/request_life.cpp
+++ b/dewbeam/src/dispatch/request_lifecycle.cpp
@@ -1,4 +1,4 @@
-#include "dewbeam/src/dispatch/request_life.h"
+#include "dewbeam/src/dispatch/request_lifecycle.h"
 
 #include <algorithm>
 #include <cmath>
@@ -14,9 +14,9 @@
 using configuration::work_class;
 
 /// Max retries and suspects that are examined per call.
-constexpr std::size_t most_looked_at = 32;
+constexpr std::size_t max_examined = 32;
 /// A request is not dispatched if even this share of its expected run time exceeds its deadline.
-constexpr double least_run_share = 0.5;
+constexpr double min_run_share = 0.5;
 constexpr double run_gain = 0.1;
 /// Time constant in seconds by which a measured run time decays without new measurements.
 constexpr double run_lifetime = 30.0;
@@ -28,7 +28,7 @@
 /// Twice the interval at which an unresponsive upstream is reported.
 constexpr time_span unresponsive_expiry = std::chrono::seconds(1);
 /// Stale entries that the heap of deadlines may hold before it is worth compacting.
-constexpr std::size_t most_lapsed_deadlines = 1024;
+constexpr std::size_t max_lapsed_deadlines = 1024;
 
 time_span to_span(double value)
 {
@@ -73,7 +73,7 @@
         const auto wait = admission::expected_wait(facts_of(state, request, now), subject.m_drain);
         result.m_retry_at = admission::next_return(subject.m_returns, limits, subject.m_drain,
                                                    cost_of(request.m_info), wait, now, random);
-        const auto permit_at = now + shortest_permit_wait(state, *request.m_route, now);
+        const auto permit_at = now + min_permit_wait(state, *request.m_route, now);
         result.m_retry_at = std::max(result.m_retry_at, permit_at);
     }
     return result;
@@ -96,7 +96,7 @@
 bool may_wait_there(const broker& state, const pending_request& request)
 {
     return request.m_info.m_class == work_class::ordinary ||
-           request.m_attempts >= most_attempts(state, request) ||
+           request.m_attempts >= max_attempts_of(state, request) ||
            state.m_retry_budget.m_tokens < state.m_options.m_retries.m_burst / 2.0 ||
            !has_untried(state.m_table, request);
 }
@@ -104,7 +104,7 @@
 /// Marks the exclusive grant of a suspect's content as used by the request.
 void use_exclusive_grant(broker& state, const pending_request& request, time_point now)
 {
-    if (state.m_options.m_suspects_take_turns &&
+    if (state.m_options.m_suspects_run_exclusively &&
         standing_of(state, request.m_info, now) == quarantine::standing::suspect) {
         state.m_exclusive_grants[request.m_info.m_fingerprint].m_runs = request.m_info.m_ticket;
     }
@@ -124,8 +124,8 @@
 route_options options_of(const broker& state)
 {
     const auto& options = state.m_options;
-    return {options.m_failure_domain,  options.m_entry,         options.m_subset_size,
-            options.m_entries_sharing, options.m_longest_doubt, options.m_classes};
+    return {options.m_failure_domain,      options.m_entry,     options.m_subset_size,
+            options.m_sharing_entry_count, options.m_max_doubt, options.m_classes};
 }
 
 lane& lane_of(const pending_request& request)
@@ -155,7 +155,7 @@
                    request.m_info.m_workspace_weight);
 }
 
-std::uint32_t most_attempts(const broker& state, const pending_request& request)
+std::uint32_t max_attempts_of(const broker& state, const pending_request& request)
 {
     const auto own = request.m_info.m_most_attempts;
     return own > 0 ? own : state.m_options.m_most_attempts;
@@ -188,7 +188,7 @@
         return;
     }
     auto& heap = state.m_deadlines;
-    if (heap.size() > 2 * state.m_waiting + most_lapsed_deadlines) {
+    if (heap.size() > 2 * state.m_waiting + max_lapsed_deadlines) {
         std::erase_if(heap, [&](const queued_deadline& item) {
             const auto place = state.m_requests.find(item.m_ticket);
             return place == state.m_requests.end() ||
@@ -247,8 +247,8 @@
 void wait_as_suspect(broker& state, pending_request& request, time_point waits_until,
                      time_point now)
 {
-    const bool runs_exclusively = state.m_options.m_suspects_take_turns;
-    request.m_suspect_starts_from = now + state.m_options.m_suspect_pause;
+    const bool runs_exclusively = state.m_options.m_suspects_run_exclusively;
+    request.m_suspect_starts_from = now + state.m_options.m_suspect_start_delay;
     begin_waiting(state, request, request_phase::suspect,
                   runs_exclusively ? waits_until : no_deadline);
     request.m_route->m_suspects.push_back(request);
@@ -323,8 +323,8 @@
     if (is_unservable(state, *request.m_route, now)) {
         return refusal::no_able_upstream;
     }
-    const auto least_run = to_span(to_seconds(expected_run(state, request, now)) * least_run_share);
-    if (info.m_deadline != no_deadline && now + least_run > info.m_deadline) {
+    const auto min_run = to_span(to_seconds(expected_run(state, request, now)) * min_run_share);
+    if (info.m_deadline != no_deadline && now + min_run > info.m_deadline) {
         return refusal::overloaded;
     }
     return std::nullopt;
@@ -410,8 +410,8 @@
     upstream.m_runs_isolated = upstream.m_runs_isolated && !request.m_runs_isolated;
     upstream.m_ended.push_back(
         {request.m_info.m_class == work_class::urgent, request.m_dispatched_at, now});
-    constexpr std::size_t most_ended = 256;
-    if (upstream.m_ended.size() > most_ended) {
+    constexpr std::size_t max_ended = 256;
+    if (upstream.m_ended.size() > max_ended) {
         upstream.m_ended.pop_front();
     }
     request.m_phase = request_phase::fresh;
@@ -439,7 +439,7 @@
 {
     std::vector<pending_request*> result;
     for (auto& item : list) {
-        if (result.size() == most_looked_at) {
+        if (result.size() == max_examined) {
             break;
         }
         result.push_back(&static_cast<pending_request&>(item));
--- a/dewbeam/src/dispatch/request_life.h
+++ b/dewbeam/src/dispatch/request_lifecycle.h
@@ -28,7 +28,7 @@
 void enqueue(pending_request& request, bool is_late);
 
 /// Max attempts of the request.
-std::uint32_t most_attempts(const broker& state, const pending_request& request);
+std::uint32_t max_attempts_of(const broker& state, const pending_request& request);
 
 /// Cost of a request for its workspace: tokens divided by the selector's weight.
 double cost_of(const request_info& info);
--- a/dewbeam/src/dispatch/route_table.cpp
+++ b/dewbeam/src/dispatch/route_table.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t most_idle_routes = 64;
+constexpr std::size_t max_idle_routes = 64;
 /// Reports older than this are not used; an agent that is full answers `not_run`.
 constexpr time_span report_lifetime = std::chrono::seconds(3);
 
@@ -141,10 +141,10 @@
                            bool is_reported)
 {
     const auto slots = upstream.m_info.m_slots;
-    if (is_reported || options.m_entries_sharing <= 1) {
+    if (is_reported || options.m_sharing_entry_count <= 1) {
         return slots;
     }
-    return std::max(1U, slots / options.m_entries_sharing);
+    return std::max(1U, slots / options.m_sharing_entry_count);
 }
 
 bool is_group_closed(const route_table& table, const upstream_state& upstream, time_point now)
@@ -183,7 +183,7 @@
     const auto ordinary_limit = ordinary_slots_of(upstream, options, slots);
     if (wanted == configuration::work_class::ordinary) {
         const auto floor = slots - fairness::urgent_slots(options.m_classes, slots);
-        const auto own_floor = std::max(1U, floor / std::max(1U, options.m_entries_sharing));
+        const auto own_floor = std::max(1U, floor / std::max(1U, options.m_sharing_entry_count));
         return upstream.m_in_flight < slots && upstream.m_ordinary_in_flight < ordinary_limit &&
                (has_slot || upstream.m_ordinary_in_flight < own_floor);
     }
@@ -194,7 +194,7 @@
 
 void drop_idle_routes(route_table& table)
 {
-    if (table.m_routes.size() < most_idle_routes) {
+    if (table.m_routes.size() < max_idle_routes) {
         return;
     }
     std::erase_if(table.m_routes, [&](const std::unique_ptr<route>& subject) {
@@ -235,8 +235,8 @@
     const bool is_moved = is_new || upstream.m_info.m_labels != info.m_labels ||
                           upstream.m_info.m_failure_domain != info.m_failure_domain;
     const bool is_reported = upstream.m_info.m_report.m_measured_at != info.m_report.m_measured_at;
-    if (info.m_is_doubted && !upstream.m_info.m_is_doubted) {
-        upstream.m_out_of_contact_until = now + options.m_longest_doubt;
+    if (info.m_is_out_of_contact && !upstream.m_info.m_is_out_of_contact) {
+        upstream.m_out_of_contact_until = now + options.m_max_doubt;
     }
     upstream.m_info = info;
     upstream.m_is_known = true;
@@ -272,7 +272,8 @@
     auto& upstream = *table.m_upstreams[index];
     const bool was_able = upstream.m_is_able;
     upstream.m_is_able = upstream.m_is_known && !upstream.m_info.m_leaving &&
-                         !upstream.m_info.m_is_doubted && upstream.m_info.m_lease_deadline > now;
+                         !upstream.m_info.m_is_out_of_contact &&
+                         upstream.m_info.m_lease_deadline > now;
     const std::array<bool, 2> is_open = {
         has_room(table, upstream, options, configuration::work_class::urgent, now),
         has_room(table, upstream, options, configuration::work_class::ordinary, now)};
@@ -297,12 +298,12 @@
 
 bool may_regain_member(const route_table& table, const route& subject, time_point now)
 {
-    return std::any_of(subject.m_members.begin(), subject.m_members.end(),
-                       [&](upstream_index index) {
-                           const auto& upstream = *table.m_upstreams[index];
-                           return upstream.m_info.m_is_doubted && !upstream.m_info.m_leaving &&
-                                  upstream.m_out_of_contact_until > now;
-                       });
+    return std::any_of(
+        subject.m_members.begin(), subject.m_members.end(), [&](upstream_index index) {
+            const auto& upstream = *table.m_upstreams[index];
+            return upstream.m_info.m_is_out_of_contact && !upstream.m_info.m_leaving &&
+                   upstream.m_out_of_contact_until > now;
+        });
 }
 
 bool has_serving_member(const route_table& table, const route& subject, time_point now)
--- a/dewbeam/src/dispatch/route_table.h
+++ b/dewbeam/src/dispatch/route_table.h
@@ -129,8 +129,8 @@
     failure_domain_id m_failure_domain;
     host_id m_entry;                 ///< determines the subset
     std::size_t m_subset_size = 64;  ///< upstreams of a route in one domain group
-    std::uint32_t m_entries_sharing = 1;
-    time_span m_longest_doubt = time_span::zero();  ///< wait for members out of contact
+    std::uint32_t m_sharing_entry_count = 1;
+    time_span m_max_doubt = time_span::zero();  ///< wait for members out of contact
     fairness::class_options m_classes;
 };
 
--- a/dewbeam/src/dispatch/serve.cpp
+++ b/dewbeam/src/dispatch/serve.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "dewbeam/src/dispatch/request_life.h"
+#include "dewbeam/src/dispatch/request_lifecycle.h"
 #include "dewbeam/src/dispatch/suspects.h"
 
 namespace dewbeam::dispatch {
@@ -13,7 +13,7 @@
 
 /// Max expected seconds to a first token of an upstream that replaces an unresponsive one. With a
 /// longer one, as in a stalled group, it is no better than the unresponsive one.
-constexpr double longest_restart_wait = 5.0;
+constexpr double max_restart_wait = 5.0;
 
 choice_context context_of(const broker& state, time_point now)
 {
@@ -178,7 +178,7 @@
             !refusal_if_unservable(state, *request, now);
         const auto chosen =
             may_go ? choose(context_of(state, now), *request, random) : std::nullopt;
-        if (!chosen || chosen->m_seconds > longest_restart_wait ||
+        if (!chosen || chosen->m_seconds > max_restart_wait ||
             was_tried(*request, *state.m_table.m_upstreams[chosen->m_index])) {
             continue;
         }
--- a/dewbeam/src/dispatch/suspects.cpp
+++ b/dewbeam/src/dispatch/suspects.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "dewbeam/src/dispatch/permits.h"
-#include "dewbeam/src/dispatch/request_life.h"
+#include "dewbeam/src/dispatch/request_lifecycle.h"
 
 namespace dewbeam::dispatch {
 
@@ -107,7 +107,7 @@
 void serve_suspects(broker& state, route& subject, time_point now, random_engine& random,
                     actions& result)
 {
-    if (state.m_options.m_suspects_take_turns) {
+    if (state.m_options.m_suspects_run_exclusively) {
         serve_granted_suspects(state, subject, now, random, result);
         return;
     }
--- a/dewbeam/src/entry/attempts.cpp
+++ b/dewbeam/src/entry/attempts.cpp
@@ -63,7 +63,7 @@
 /// Cancels an attempt at its agent. The dispatch and the cancellation may travel on different
 /// connections; if the agent reads the cancellation first, the tombstone keeps it from starting the
 /// attempt when the dispatch arrives.
-void take_back(entry_state& state, const owned_attempt& attempt)
+void retract(entry_state& state, const owned_attempt& attempt)
 {
     send_cancel(state, attempt.m_id, attempt.m_agent_address);
     send_tombstone(state, attempt);
@@ -93,7 +93,7 @@
         return false;
     }
     state.m_requests.remove_attempt(left.m_id);
-    take_back(state, left);
+    retract(state, left);
     log_end(state, request, left.m_id, dispatch::attempt_end::lost, "upstream_silent");
     return true;
 }
@@ -196,7 +196,7 @@
         const bool is_suspect =
             attempt.m_is_acknowledged &&
             state.m_losses.note(request->known().m_call.m_content, {address, attempt.m_agent}, now);
-        take_back(state, attempt);
+        retract(state, attempt);
         end_attempt(state, request, attempt.m_id,
                     is_suspect ? dispatch::attempt_end::upstream_died : end, reason, now);
     }
@@ -235,12 +235,12 @@
         send_tombstone(state, attempt);
     }
     else if (request->is_gap_expired(now)) {
-        take_back(state, attempt);
+        retract(state, attempt);
         end_attempt(state, request, attempt.m_id, dispatch::attempt_end::unknown, "chunk_missing",
                     now);
     }
     else if (request->is_tombstone_late(now)) {
-        take_back(state, attempt);
+        retract(state, attempt);
         end_attempt(state, request, attempt.m_id, dispatch::attempt_end::unknown,
                     "not_acknowledged", now);
     }
--- a/dewbeam/src/entry/burn_book.cpp
+++ b/dewbeam/src/entry/burn_recorder.cpp
@@ -1,4 +1,4 @@
-#include "dewbeam/src/entry/burn_book.h"
+#include "dewbeam/src/entry/burn_recorder.h"
 
 #include <cstdio>
 #include <fstream>
@@ -17,7 +17,7 @@
 
 burn::outcome burn_outcome(const request_result& result)
 {
-    if (result.m_is_caller_gone) {
+    if (result.m_is_caller_disconnected) {
         return burn::outcome::excluded;
     }
     const auto status = result.m_status;
--- a/dewbeam/src/entry/endings.cpp
+++ b/dewbeam/src/entry/endings.cpp
@@ -61,7 +61,7 @@
                {"workspace", known.m_workspace},
                {"status", result.m_status},
                {"code", result.m_code},
-               {"gone", result.m_is_caller_gone},
+               {"gone", result.m_is_caller_disconnected},
                {"us", (now - known.m_arrival).count()}});
 }
 
--- a/dewbeam/src/entry/entry_request.cpp
+++ b/dewbeam/src/entry/entry_request.cpp
@@ -85,7 +85,7 @@
     if (!m_is_streaming) {
         // Nothing was delivered to the caller yet: the answer is assembled from scratch.
         m_stream = {};
-        m_stream.m_options.m_most_kept = {0};
+        m_stream.m_options.m_max_kept = {0};
         m_body.clear();
         m_status = 0;
     }
@@ -158,7 +158,7 @@
 
 chunk_effect entry_request::handle_delivery(replies::delivery&& out, time_point now)
 {
-    if (out.m_begins) {
+    if (out.m_starts_response) {
         m_status = static_cast<int>(out.m_status);
         m_head.clear();
         for (auto& item : out.m_headers) {
@@ -178,7 +178,7 @@
     if (m_body.size() > most_answer_bytes) {
         return chunk_effect::broken;
     }
-    return out.m_begins ? chunk_effect::first : chunk_effect::none;
+    return out.m_starts_response ? chunk_effect::first : chunk_effect::none;
 }
 
 bool entry_request::resumes_at_sent_offset(const wire::ReplyChunk& chunk) const
@@ -414,7 +414,7 @@
         return false;
     }
     m_is_over = true;
-    m_result.m_is_caller_gone = true;
+    m_result.m_is_caller_disconnected = true;
     record_run_outcome(ledger::outcome::not_run);
     return true;
 }
--- a/dewbeam/src/entry/entry_request.h
+++ b/dewbeam/src/entry/entry_request.h
@@ -50,7 +50,7 @@
     int m_status = 0;
     std::string m_code;         ///< of the error; empty if there was none
     time_point m_first_byte{};  ///< epoch if there was none
-    bool m_is_caller_gone = false;
+    bool m_is_caller_disconnected = false;
     ledger::outcome m_outcome = ledger::outcome::not_run;
     /// Of a claimed request that completed, unless it is too large to store.
     std::optional<claims::kept_answer> m_answer;
--- a/dewbeam/src/entry/entry_server.cpp
+++ b/dewbeam/src/entry/entry_server.cpp
@@ -182,7 +182,7 @@
             answer->respond(*std::move(page));
             return;
         }
-        take_call(m_state, std::move(request), answer);
+        receive_call(m_state, std::move(request), answer);
     }
 
     void tick(time_point now)
@@ -212,7 +212,7 @@
             m_state.m_next_interest = now + report_interest_interval;
             m_state.m_membership->request_load_reports(report_subset);
         }
-        const auto held_up = take_growth(m_link_held_up, m_state.m_node->held_up());
+        const auto held_up = take_growth(m_link_delay, m_state.m_node->held_up());
         for (const auto& request : m_state.m_requests.all()) {
             if (held_up > time_span::zero()) {
                 request->extend_attempt_deadlines(held_up, now);
@@ -226,7 +226,7 @@
 
     std::atomic<time_point> m_report_deadline = no_deadline;
     time_point m_next_scan{};
-    held_up_since m_link_held_up;  ///< as of the last scan
+    held_up_since m_link_delay;  ///< as of the last scan
     time_point m_next_peers{};
     std::vector<std::string> m_peers;  ///< other entries; used only on the frame's thread
     known_entries m_known_entries;     ///< used only on the frame's thread
--- a/dewbeam/src/entry/intake.cpp
+++ b/dewbeam/src/entry/intake.cpp
@@ -128,8 +128,8 @@
 
 }  // namespace
 
-void take_call(entry_state& state, http::request&& request,
-               const std::shared_ptr<http::exchange>& answer)
+void receive_call(entry_state& state, http::request&& request,
+                  const std::shared_ptr<http::exchange>& answer)
 {
     const auto now = program::now();
     const dispatch::ticket ticket(++state.m_last_ticket);
--- a/dewbeam/src/entry/intake.h
+++ b/dewbeam/src/entry/intake.h
@@ -11,8 +11,8 @@
 namespace dewbeam::entry {
 
 /// Handles a request that is not for one of the entry's own pages.
-void take_call(entry_state& state, http::request&& request,
-               const std::shared_ptr<http::exchange>& answer);
+void receive_call(entry_state& state, http::request&& request,
+                  const std::shared_ptr<http::exchange>& answer);
 
 /// Classifies a request again after its agent refused it for a stale configuration; this entry has
 /// adopted the newer one by now. If the caller already has part of the answer, the attempt ends as
--- a/dewbeam/src/entry/loss_memory.cpp
+++ b/dewbeam/src/entry/link_loss_history.cpp
@@ -1,4 +1,4 @@
-#include "dewbeam/src/entry/loss_memory.h"
+#include "dewbeam/src/entry/link_loss_history.h"
 
 #include <algorithm>
 #include <optional>
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::chrono::minutes loss_retention{10};
-constexpr std::size_t most_losses = 65'536;
+constexpr std::size_t max_losses = 65'536;
 
 }  // namespace
 
@@ -56,7 +56,7 @@
     for (const auto& [process, lost] : m_losses) {
         size += lost.size();
     }
-    if (size < most_losses) {
+    if (size < max_losses) {
         return;
     }
     const auto first = m_losses.begin();
--- a/dewbeam/src/entry/member_wire.cpp
+++ b/dewbeam/src/entry/member_wire.cpp
@@ -13,18 +13,17 @@
 
 /// Limit of 7 days for ages and leases: those beyond a day are of no use, and very large ones would
 /// overflow.
-constexpr std::uint64_t longest_milliseconds = 7ULL * 24 * 3600 * 1000;
+constexpr std::uint64_t max_milliseconds = 7ULL * 24 * 3600 * 1000;
 
 std::uint64_t milliseconds_of(time_span span)
 {
     const auto count = duration_cast<milliseconds>(span).count();
-    return std::min(static_cast<std::uint64_t>(std::max<std::int64_t>(0, count)),
-                    longest_milliseconds);
+    return std::min(static_cast<std::uint64_t>(std::max<std::int64_t>(0, count)), max_milliseconds);
 }
 
 milliseconds span_of(std::uint64_t count)
 {
-    return milliseconds(static_cast<std::int64_t>(std::min(count, longest_milliseconds)));
+    return milliseconds(static_cast<std::int64_t>(std::min(count, max_milliseconds)));
 }
 
 wire::Announcement::Role role_to_wire(membership::role value)
@@ -130,15 +129,14 @@
 
 membership::member_load from_wire(const wire::EngineReport& source, time_point now)
 {
-    constexpr std::uint64_t most_tokens = 1ULL << 40U;
-    constexpr std::uint64_t longest_step = 3'600'000'000;
+    constexpr std::uint64_t max_tokens = 1ULL << 40U;
+    constexpr std::uint64_t max_step = 3'600'000'000;
     membership::member_load load;
     load.m_running = source.running();
     load.m_waiting = source.waiting();
-    load.m_free_kv = {static_cast<std::int64_t>(std::min(source.free_kv_tokens(), most_tokens))};
-    load.m_total_kv = {static_cast<std::int64_t>(std::min(source.total_kv_tokens(), most_tokens))};
-    load.m_step_time =
-        time_span(static_cast<std::int64_t>(std::min(source.step_us(), longest_step)));
+    load.m_free_kv = {static_cast<std::int64_t>(std::min(source.free_kv_tokens(), max_tokens))};
+    load.m_total_kv = {static_cast<std::int64_t>(std::min(source.total_kv_tokens(), max_tokens))};
+    load.m_step_time = time_span(static_cast<std::int64_t>(std::min(source.step_us(), max_step)));
     load.m_skew = source.skew();
     load.m_urgent = source.urgent();
     load.m_ordinary_slots = source.ordinary_slots();
--- a/dewbeam/src/entry/membership_runner.cpp
+++ b/dewbeam/src/entry/membership_runner.cpp
@@ -70,8 +70,7 @@
         }
         m_tick_at = now + m_view.m_options.m_gossip;
         if (m_hooks.m_held_up) {
-            membership::put_off_leases(m_view, take_growth(m_link_held_up, m_hooks.m_held_up()),
-                                       now);
+            membership::put_off_leases(m_view, take_growth(m_link_delay, m_hooks.m_held_up()), now);
         }
         out = membership::tick(m_view, now, m_random);
         queue_changes(out);
--- a/dewbeam/src/entry/membership_runner.h
+++ b/dewbeam/src/entry/membership_runner.h
@@ -107,7 +107,7 @@
     membership::report_readers m_readers;
     random_engine m_random;
     time_point m_tick_at{};
-    held_up_since m_link_held_up;
+    held_up_since m_link_delay;
     std::deque<membership::member> m_undelivered;  ///< changes, oldest first
     bool m_is_delivering = false;                  ///< some thread is delivering them
 };
--- a/dewbeam/src/entry/messages.cpp
+++ b/dewbeam/src/entry/messages.cpp
@@ -76,7 +76,8 @@
 {
     if (const auto request = state.m_requests.find(link::from_wire(message.attempt()))) {
         const auto& known = request->known();
-        perform(state, state.m_pools.upstream_is_silent(known.m_pool, known.m_ticket, now), now);
+        perform(state, state.m_pools.note_unresponsive_upstream(known.m_pool, known.m_ticket, now),
+                now);
     }
 }
 
--- a/dewbeam/src/entry/metrics.cpp
+++ b/dewbeam/src/entry/metrics.cpp
@@ -16,7 +16,7 @@
 
 const char* outcome_of(const request_result& result)
 {
-    if (result.m_is_caller_gone) {
+    if (result.m_is_caller_disconnected) {
         return "caller_gone";
     }
     if (!result.m_code.empty()) {
@@ -73,7 +73,7 @@
 metrics::~metrics() = default;
 
 void metrics::request_ended(const std::string& selector, const request_result& result,
-                            time_span first_byte_after, time_span whole_after)
+                            time_span first_byte_after, time_span total_time)
 {
     auto& all = *m_families;
     all.m_requests
@@ -84,7 +84,7 @@
             .Observe(to_seconds(first_byte_after));
     }
     all.m_request_duration.Add({{"selector", selector}}, latency_bounds)
-        .Observe(to_seconds(whole_after));
+        .Observe(to_seconds(total_time));
 }
 
 void metrics::dispatched()
--- a/dewbeam/src/entry/metrics.h
+++ b/dewbeam/src/entry/metrics.h
@@ -24,7 +24,7 @@
 
     /// Counts a request that ended.
     void request_ended(const std::string& selector, const request_result& result,
-                       time_span first_byte_after, time_span whole_after);
+                       time_span first_byte_after, time_span total_time);
 
     /// Counts an attempt that was dispatched to an agent.
     void dispatched();
--- a/dewbeam/src/entry/pool_table.cpp
+++ b/dewbeam/src/entry/pool_table.cpp
@@ -39,7 +39,7 @@
     info.m_incarnation = member.m_upstream_life;
     info.m_slots = member.m_slots;
     info.m_leaving = member.m_leaving || (drain != nullptr && *drain == "true");
-    info.m_is_doubted = member.m_suspect;
+    info.m_is_out_of_contact = member.m_suspect;
     info.m_lease_deadline = member.m_lease_deadline;
     info.m_report.m_running = member.m_load.m_running;
     info.m_report.m_waiting = member.m_load.m_waiting;
@@ -73,7 +73,8 @@
         place = std::make_shared<locked_broker>();
         place->m_broker.m_options = m_options;
         place->m_broker.m_suspicions.m_options = m_options.m_quarantine;
-        dispatch::set_sharing(place->m_broker, m_options.m_entries_sharing, m_options.m_retries);
+        dispatch::set_sharing(place->m_broker, m_options.m_sharing_entry_count,
+                              m_options.m_retries);
         place->m_random = program::seeded_engine();
     }
     return place;
@@ -117,15 +118,15 @@
     return dispatch::attempt_ended(target->m_broker, request, end, now, target->m_random);
 }
 
-dispatch::actions pool_table::upstream_is_silent(const std::string& pool, dispatch::ticket request,
-                                                 time_point now)
+dispatch::actions pool_table::note_unresponsive_upstream(const std::string& pool,
+                                                         dispatch::ticket request, time_point now)
 {
     const auto target = find(pool);
     if (!target) {
         return {};
     }
     const std::lock_guard lock(target->m_mutex);
-    return dispatch::upstream_is_silent(target->m_broker, request, now, target->m_random);
+    return dispatch::note_unresponsive_upstream(target->m_broker, request, now, target->m_random);
 }
 
 dispatch::actions pool_table::cancel(const std::string& pool, dispatch::ticket request,
@@ -222,25 +223,25 @@
     return result;
 }
 
-dispatch::actions pool_table::set_turns(const std::vector<fingerprint>& granted, bool is_cut_off,
-                                        time_point now)
+dispatch::actions pool_table::set_exclusive_grants(const std::vector<fingerprint>& granted,
+                                                   bool is_cut_off, time_point now)
 {
     dispatch::actions result;
     for (const auto& name : names()) {
         const auto target = find(name);
         const std::lock_guard lock(target->m_mutex);
-        const auto more =
-            dispatch::set_turns(target->m_broker, granted, is_cut_off, now, target->m_random);
+        const auto more = dispatch::set_exclusive_grants(target->m_broker, granted, is_cut_off, now,
+                                                         target->m_random);
         result.insert(result.end(), more.begin(), more.end());
     }
     return result;
 }
 
-void pool_table::suspend_turn(const std::string& pool, fingerprint content)
+void pool_table::suspend_exclusive_grant(const std::string& pool, fingerprint content)
 {
     if (const auto target = find(pool)) {
         const std::lock_guard lock(target->m_mutex);
-        dispatch::suspend_turn(target->m_broker, content);
+        dispatch::suspend_exclusive_grant(target->m_broker, content);
     }
 }
 
@@ -307,34 +308,34 @@
     return dispatch::next_event(target->m_broker, request, now);
 }
 
-std::vector<std::string> pool_table::take_still_groups()
+std::vector<std::string> pool_table::take_stalled_groups()
 {
     std::vector<std::string> result;
     for (const auto& name : names()) {
         const auto target = find(name);
         const std::lock_guard lock(target->m_mutex);
-        for (auto& group : dispatch::take_still_groups(target->m_broker)) {
+        for (auto& group : dispatch::take_stalled_groups(target->m_broker)) {
             result.push_back(std::move(group));
         }
     }
     return result;
 }
 
-bool pool_table::is_outrun(const std::string& pool, dispatch::ticket request,
-                           time_span margin) const
+bool pool_table::is_overtaken(const std::string& pool, dispatch::ticket request,
+                              time_span margin) const
 {
     const auto target = find(pool);
     if (!target) {
         return false;
     }
     const std::lock_guard lock(target->m_mutex);
-    return dispatch::is_outrun(target->m_broker, request, margin);
+    return dispatch::is_overtaken(target->m_broker, request, margin);
 }
 
 void pool_table::set_sharing(std::uint32_t entries, const retry::budget_options& retries)
 {
     const std::unique_lock lock(m_mutex);
-    m_options.m_entries_sharing = entries;
+    m_options.m_sharing_entry_count = entries;
     m_options.m_retries = retries;
     for (const auto& [name, one] : m_pools) {
         const std::lock_guard broker_lock(one->m_mutex);
--- a/dewbeam/src/entry/pool_table.h
+++ b/dewbeam/src/entry/pool_table.h
@@ -44,8 +44,8 @@
     bool first_token(const std::string& pool, dispatch::ticket request, time_point now);
     dispatch::actions attempt_ended(const std::string& pool, dispatch::ticket request,
                                     dispatch::attempt_end end, time_point now);
-    dispatch::actions upstream_is_silent(const std::string& pool, dispatch::ticket request,
-                                         time_point now);
+    dispatch::actions note_unresponsive_upstream(const std::string& pool, dispatch::ticket request,
+                                                 time_point now);
     dispatch::actions cancel(const std::string& pool, dispatch::ticket request, time_point now);
     dispatch::actions update_upstream(const std::string& pool, const dispatch::upstream_info& info,
                                       time_point now);
@@ -66,9 +66,9 @@
     /// Suspected contents for which this process wants to get or keep the exclusive grant to run
     /// them.
     [[nodiscard]] std::vector<fingerprint> wanted_turns() const;
-    dispatch::actions set_turns(const std::vector<fingerprint>& granted, bool is_cut_off,
-                                time_point now);
-    void suspend_turn(const std::string& pool, fingerprint content);
+    dispatch::actions set_exclusive_grants(const std::vector<fingerprint>& granted, bool is_cut_off,
+                                           time_point now);
+    void suspend_exclusive_grant(const std::string& pool, fingerprint content);
 
     /// Records that an attempt failed by its upstream's fault, or that the upstream answered.
     /// Returns true if the upstream's circuit breaker opens.
@@ -84,11 +84,11 @@
     bool next_event(const std::string& pool, dispatch::ticket request, time_point now);
 
     /// Groups that were found stalled since the last call.
-    std::vector<std::string> take_still_groups();
+    std::vector<std::string> take_stalled_groups();
 
     /// Whether a running request is late because of its upstream.
-    [[nodiscard]] bool is_outrun(const std::string& pool, dispatch::ticket request,
-                                 time_span margin) const;
+    [[nodiscard]] bool is_overtaken(const std::string& pool, dispatch::ticket request,
+                                    time_span margin) const;
 
     /// The additional permits that each pool needs for its limited upstreams.
     [[nodiscard]] std::vector<permits::demand> wanted_permits(time_point now) const;
--- a/dewbeam/src/entry/suspicion_wire.cpp
+++ b/dewbeam/src/entry/suspicion_wire.cpp
@@ -26,12 +26,12 @@
     const auto& record = source.m_record;
     out.set_pool(source.m_pool);
     out.set_fingerprint(record.m_content.value());
-    for (const auto& item : record.m_deaths) {
-        auto& death = *out.add_deaths();
-        death.set_upstream(item.m_upstream.value());
-        death.set_incarnation(item.m_incarnation.value());
-        death.set_at_unix_us(to_wall(item.m_at, now, wall_now));
-        death.set_alone(item.m_alone);
+    for (const auto& item : record.m_crash_reports) {
+        auto& crash_report = *out.add_deaths();
+        crash_report.set_upstream(item.m_upstream.value());
+        crash_report.set_incarnation(item.m_incarnation.value());
+        crash_report.set_at_unix_us(to_wall(item.m_at, now, wall_now));
+        crash_report.set_alone(item.m_alone);
     }
     const bool has_cleared = record.m_cleared_at != time_point::min();
     out.set_has_cleared(has_cleared);
@@ -45,8 +45,9 @@
     quarantine::suspicion record;
     record.m_content = fingerprint(source.fingerprint());
     for (const auto& item : source.deaths()) {
-        record.m_deaths.push_back({upstream_id(item.upstream()), incarnation(item.incarnation()),
-                                   from_wall(item.at_unix_us(), now, wall_now), item.alone()});
+        record.m_crash_reports.push_back(
+            {upstream_id(item.upstream()), incarnation(item.incarnation()),
+             from_wall(item.at_unix_us(), now, wall_now), item.alone()});
     }
     if (source.has_cleared()) {
         record.m_cleared_at = from_wall(source.cleared_at_unix_us(), now, wall_now);
--- a/dewbeam/src/entry/suspicions.cpp
+++ b/dewbeam/src/entry/suspicions.cpp
@@ -30,7 +30,7 @@
         log_event(log_level::warning, "content_suspected",
                   {{"pool", item.m_pool},
                    {"content", item.m_record.m_content.value()},
-                   {"deaths", item.m_record.m_deaths.size()}});
+                   {"deaths", item.m_record.m_crash_reports.size()}});
         for (const auto& address : other_entries(state)) {
             state.m_node->send(address, message);
         }
--- a/dewbeam/src/gateway/crash_blame.cpp
+++ b/dewbeam/src/gateway/crash_blame.cpp
@@ -22,7 +22,7 @@
 /// An upstream that has been unresponsive for longer is no evidence of a current partition.
 constexpr time_span recent_unresponsive_window = std::chrono::seconds(5);
 /// Maximum delay of a retry while the gateway determines whether the previous upstream crashed.
-constexpr time_span longest_hold = std::chrono::milliseconds(100);
+constexpr time_span max_hold = std::chrono::milliseconds(100);
 /// Delay before an upstream that has not answered is reported. An upstream that is only slow
 /// answers another request within this time.
 constexpr time_span unanswered_check_delay = std::chrono::milliseconds(200);
@@ -51,7 +51,7 @@
 }
 
 void log_suspicion(const gateway_state& state, const char* event,
-                   const registrar::noted_suspicion& subject, const std::string& upstream,
+                   const registrar::pooled_suspicion& subject, const std::string& upstream,
                    const char* reason, time_point now)
 {
     const auto content = subject.m_record.m_content;
@@ -63,7 +63,7 @@
                {"deaths", state.m_feed.deaths_of(content, now)}});
 }
 
-void merge(gateway_state& state, const registrar::noted_suspicion& subject, time_point now)
+void merge(gateway_state& state, const registrar::pooled_suspicion& subject, time_point now)
 {
     perform(state, state.m_pools.merge_suspicion(subject.m_pool, subject.m_record, now), now);
 }
@@ -71,7 +71,7 @@
 /// Offsets each new crash report with a successful run of the same content that is known here.
 void offset_crash_reports(gateway_state& state, const quarantine::suspicion& update, time_point now)
 {
-    for (const auto& item : update.m_deaths) {
+    for (const auto& item : update.m_crash_reports) {
         {
             const std::lock_guard lock(state.m_crashes.m_mutex);
             if (!spend_good_run(state.m_crashes.m_good_runs, update.m_content)) {
@@ -81,7 +81,7 @@
         if (item.m_is_outweighed) {
             continue;  // another gateway offset it, with good runs that include this one
         }
-        if (const auto record = state.m_feed.report_good_run(update.m_content, now)) {
+        if (const auto record = state.m_feed.report_successful_run(update.m_content, now)) {
             merge(state, *record, now);
         }
     }
@@ -89,11 +89,11 @@
 
 /// Reports to all gateways what happened to the upstream of a lost attempt.
 void report(gateway_state& state, const upstream_incarnation& where, const lost_attempt& loss,
-            const quarantine::death& crash, const char* reason, time_point now)
+            const quarantine::crash_report& crash, const char* reason, time_point now)
 {
-    registrar::noted_suspicion subject{loss.m_pool, {}};
+    registrar::pooled_suspicion subject{loss.m_pool, {}};
     subject.m_record.m_content = loss.m_content;
-    subject.m_record.m_deaths.push_back(crash);
+    subject.m_record.m_crash_reports.push_back(crash);
     if (!state.m_feed.report(subject)) {
         return;
     }
@@ -103,9 +103,10 @@
     offset_crash_reports(state, subject.m_record, now);
 }
 
-quarantine::death crash_report_of(const upstream_incarnation& where, const lost_attempt& loss)
+quarantine::crash_report crash_report_of(const upstream_incarnation& where,
+                                         const lost_attempt& loss)
 {
-    quarantine::death crash{where.m_upstream, where.m_incarnation, loss.m_lost_at, false};
+    quarantine::crash_report crash{where.m_upstream, where.m_incarnation, loss.m_lost_at, false};
     crash.m_order = loss.m_order;
     return crash;
 }
@@ -135,7 +136,7 @@
 
 /// Retracts the reports on an upstream that was presumed crashed but continues in the same
 /// incarnation.
-void take_back(gateway_state& state, const upstream_incarnation& where, time_point now)
+void retract(gateway_state& state, const upstream_incarnation& where, time_point now)
 {
     const auto seen_at = now - answer_reordering_time;
     std::vector<lost_attempt> judged;
@@ -147,9 +148,9 @@
     for (const auto& loss : judged) {
         auto crash = crash_report_of(where, loss);
         crash.m_is_outweighed = true;
-        registrar::noted_suspicion subject{loss.m_pool, {}};
+        registrar::pooled_suspicion subject{loss.m_pool, {}};
         subject.m_record.m_content = loss.m_content;
-        subject.m_record.m_deaths.push_back(crash);
+        subject.m_record.m_crash_reports.push_back(crash);
         if (state.m_feed.report(subject)) {
             log_suspicion(state, "suspicion_taken_back", subject, where.m_upstream.value(),
                           "upstream_goes_on", now);
@@ -303,7 +304,7 @@
     // A suspect that is retried immediately could crash the next upstream before the last crash is
     // known.
     const bool is_suspect = state.m_feed.is_suspected(request->known().m_content, now);
-    state.m_crashes.m_probe.wait(is_suspect ? crash_decision_time : longest_hold, go_on);
+    state.m_crashes.m_probe.wait(is_suspect ? crash_decision_time : max_hold, go_on);
     state.m_crashes.m_probe.ask(target.m_address, [&state, sent, address = target.m_address,
                                                    is_suspect, go_on](probe_result result) {
         handle_probe_result(state, sent, address, result, is_suspect, go_on);
@@ -319,7 +320,7 @@
         return;
     }
     note_loss(state, request, sent, now);
-    state.m_pools.suspend_turn(request->known().m_pool, request->known().m_content);
+    state.m_pools.suspend_exclusive_grant(request->known().m_pool, request->known().m_content);
     state.m_crashes.m_probe.wait(
         unanswered_check_delay,
         [&state, sent, pool = request->known().m_pool, address = target.m_address] {
@@ -330,7 +331,7 @@
 void note_good_run(gateway_state& state, const request_pointer& request, time_point now)
 {
     const auto content = request->known().m_content;
-    if (const auto record = state.m_feed.report_good_run(content, now)) {
+    if (const auto record = state.m_feed.report_successful_run(content, now)) {
         log_suspicion(state, "suspicion_outweighed", *record, request->upstream().value(),
                       "ran_to_its_end", now);
         merge(state, *record, now);
@@ -350,7 +351,7 @@
                      state.m_crashes.m_losses.m_losses.contains(incarnation_of(sent));
     }
     if (is_doubted) {
-        take_back(state, incarnation_of(sent), now);
+        retract(state, incarnation_of(sent), now);
     }
 }
 
@@ -363,7 +364,7 @@
         forget_upstream(state.m_crashes.m_losses, known.m_name);
         return;
     }
-    if (changed.m_is_silent) {
+    if (changed.m_is_unresponsive) {
         const std::lock_guard lock(state.m_crashes.m_mutex);
         if (state.m_crashes.m_unresponsive_since.try_emplace(current, now).second) {
             state.m_crashes.m_unreported_incarnations.insert(current);
@@ -376,7 +377,7 @@
         state.m_crashes.m_unreported_incarnations.erase(current);
     }
     if (state.m_upstreams.is_unresponsive(known.m_name)) {
-        take_back(state, current, now);
+        retract(state, current, now);
     }
     std::vector<upstream_incarnation> ended;
     {
@@ -393,7 +394,7 @@
     }
 }
 
-void apply_suspicion(gateway_state& state, const registrar::noted_suspicion& received,
+void apply_suspicion(gateway_state& state, const registrar::pooled_suspicion& received,
                      time_point now)
 {
     log_suspicion(state, "suspicion_heard", received, "", "registry", now);
@@ -415,7 +416,7 @@
     for (const auto content : contents_awaiting_outcome(state, now)) {
         std::erase(usable, content);
     }
-    perform(state, state.m_pools.set_turns(usable, false, now), now);
+    perform(state, state.m_pools.set_exclusive_grants(usable, false, now), now);
 }
 
 void request_exclusive_grants(gateway_state& state, time_point now)
@@ -432,7 +433,7 @@
         }
         state.m_crashes.m_has_no_registry = has_no_registry;
     }
-    perform(state, state.m_pools.set_turns({}, has_no_registry, now), now);
+    perform(state, state.m_pools.set_exclusive_grants({}, has_no_registry, now), now);
 }
 
 void report_unresponsive_upstreams(gateway_state& state, time_point now)
--- a/dewbeam/src/gateway/crash_blame.h
+++ b/dewbeam/src/gateway/crash_blame.h
@@ -12,8 +12,8 @@
 
 #include "dewbeam/registry"
 #include "dewbeam/src/gateway/gateway_request.h"
-#include "dewbeam/src/gateway/loss_watch.h"
-#include "dewbeam/src/registrar/suspicion_board.h"
+#include "dewbeam/src/gateway/lost_attempt_tracker.h"
+#include "dewbeam/src/registrar/suspicion_store.h"
 
 namespace dewbeam::gateway {
 
@@ -40,7 +40,7 @@
 void handle_upstream_change(gateway_state& state, const registry::record& changed, time_point now);
 
 /// Applies a suspicion that the registries reported.
-void apply_suspicion(gateway_state& state, const registrar::noted_suspicion& received,
+void apply_suspicion(gateway_state& state, const registrar::pooled_suspicion& received,
                      time_point now);
 
 /// Applies the exclusive grants: the suspected contents that this gateway may run now.
--- a/dewbeam/src/gateway/forwarder.cpp
+++ b/dewbeam/src/gateway/forwarder.cpp
@@ -13,7 +13,7 @@
 /// Upper bound of Retry-After as a share of the caller's remaining time: most callers don't wait
 /// for longer than a third of it.
 constexpr double retry_after_share = 0.32;
-constexpr time_span shortest_return = std::chrono::milliseconds(100);
+constexpr time_span min_retry_after = std::chrono::milliseconds(100);
 /// An attempt counts as late if attempts that started later by this multiple of the latency
 /// objective have already been answered. A plain call that hangs can be retried within its
 /// objective or soon after. A stream also waits for a slot at its rank, which is no fault of the
@@ -28,7 +28,7 @@
 
 const char* outcome_of(const request_end& end)
 {
-    if (end.m_is_caller_gone) {
+    if (end.m_is_caller_disconnected) {
         return "caller_gone";
     }
     if (end.m_is_cut) {
@@ -43,7 +43,7 @@
 
 time_span longest_pause(const answer_times& times)
 {
-    return std::max(times.m_longest_pause, times.m_longest_break);
+    return std::max(times.m_longest_pause, times.m_max_break);
 }
 
 /// Removes a finished request from the requests in flight and records its outcome.
@@ -108,7 +108,7 @@
                            refusal.m_refusal == dispatch::refusal::no_able_upstream;
     const auto wanted = is_outage ? longest : refusal.m_retry_at - now;
     fault.m_retry_after =
-        std::clamp<time_span>(wanted, std::min(shortest_return, longest), longest);
+        std::clamp<time_span>(wanted, std::min(min_retry_after, longest), longest);
     return fault;
 }
 
@@ -359,7 +359,7 @@
     const bool is_stream = known.m_route->m_kind == routes::work_kind::streaming;
     const auto margin = std::chrono::duration_cast<time_span>(
         objective * (is_stream ? overtaken_share_of_stream : overtaken_share));
-    return state.m_pools.is_outrun(known.m_pool, known.m_ticket, margin);
+    return state.m_pools.is_overtaken(known.m_pool, known.m_ticket, margin);
 }
 
 /// Ends a late attempt so that it can be retried. A request that is not idempotent must not run
--- a/dewbeam/src/gateway/gateway_metrics.cpp
+++ b/dewbeam/src/gateway/gateway_metrics.cpp
@@ -77,10 +77,10 @@
 
 gateway_metrics::~gateway_metrics() = default;
 
-void gateway_metrics::request_ended(const std::string& outcome, time_span whole_after)
+void gateway_metrics::request_ended(const std::string& outcome, time_span total_time)
 {
     m_families->m_requests.Add({{"outcome", outcome}}).Increment();
-    m_families->m_total_latency.Observe(to_seconds(whole_after));
+    m_families->m_total_latency.Observe(to_seconds(total_time));
 }
 
 void gateway_metrics::first_byte(time_span after)
--- a/dewbeam/src/gateway/gateway_metrics.h
+++ b/dewbeam/src/gateway/gateway_metrics.h
@@ -23,7 +23,7 @@
 
     /// Counts a finished request by `outcome`: an error code, "answered", "upstream_failure",
     /// "cut" or "caller_gone".
-    void request_ended(const std::string& outcome, time_span whole_after);
+    void request_ended(const std::string& outcome, time_span total_time);
 
     /// Records the time until the caller got the first byte.
     void first_byte(time_span after);
--- a/dewbeam/src/gateway/gateway_request.cpp
+++ b/dewbeam/src/gateway/gateway_request.cpp
@@ -357,7 +357,7 @@
         return false;
     }
     m_is_over = true;
-    m_result.m_is_caller_gone = true;
+    m_result.m_is_caller_disconnected = true;
     m_result.m_is_cut = m_is_streaming;
     if (m_exchange) {
         m_exchange->cancel();
--- a/dewbeam/src/gateway/gateway_request.h
+++ b/dewbeam/src/gateway/gateway_request.h
@@ -38,7 +38,7 @@
     incarnation m_incarnation;
     attempt_number m_number;
     time_point m_sent_at{};
-    std::uint32_t m_order = 0;  ///< of a crash report on this attempt; see `quarantine::death`
+    std::uint32_t m_order = 0;  ///< of a crash report; see `quarantine::crash_report`
 };
 
 /// An attempt that starts.
@@ -53,7 +53,7 @@
     const char* m_code = "";  ///< of an error of the gateway itself
     answer_times m_times;
     late_reason m_late = late_reason::none;
-    bool m_is_caller_gone = false;
+    bool m_is_caller_disconnected = false;
     bool m_is_cut = false;  ///< part of the answer was delivered, the rest was not
     answer_end m_answer;    ///< of the last attempt that ended
 };
--- a/dewbeam/src/gateway/gateway_server.cpp
+++ b/dewbeam/src/gateway/gateway_server.cpp
@@ -55,8 +55,8 @@
     result.m_failure_domain =
         failure_domain_id(setting_value<std::string>(settings, "/failure_domain"));
     result.m_entry = host_id(setting_value<std::string>(settings, "/host"));
-    result.m_entries_sharing = setting_value<std::uint32_t>(settings, "/gateways");
-    result.m_retries = retries_of(settings, result.m_entries_sharing);
+    result.m_sharing_entry_count = setting_value<std::uint32_t>(settings, "/gateways");
+    result.m_retries = retries_of(settings, result.m_sharing_entry_count);
     // Streamed answers take about 1.5 s. The counts reported by the other gateways are up to 0.3 s
     // old.
     result.m_choice.m_running_lifetime = std::chrono::milliseconds(1500);
@@ -64,7 +64,7 @@
     result.m_runs_must_fit = false;
     result.m_waits_for_upstreams = true;
     result.m_quarantine = quarantine_of_contents();
-    result.m_suspects_take_turns = true;
+    result.m_suspects_run_exclusively = true;
     result.m_queue.m_shortest_return = std::chrono::milliseconds(300);
     return result;
 }
@@ -111,18 +111,18 @@
     schema.insert(schema.end(), listeners.begin(), listeners.end());
     const auto registries = registrar::registry_settings();
     schema.insert(schema.end(), registries.begin(), registries.end());
-    constexpr std::int64_t most_gateways = 10'000;
-    constexpr std::int64_t most_retries = 1'000'000;
+    constexpr std::int64_t max_gateways = 10'000;
+    constexpr std::int64_t max_retries = 1'000'000;
     const std::vector<setting> own{
         {"/readiness_listen", setting_kind::address, "127.0.0.1:0",
          "Address for questions on readiness, metrics and status."},
         {"/gateways", setting_kind::integer, 8,
          "Gateways of the deployment, until a registry has told how many there are.", 1,
-         most_gateways},
+         max_gateways},
         {"/retries/share", setting_kind::number, 0.1,
          "Retries for each first try that all gateways may send.", 0, 1},
         {"/retries/burst", setting_kind::number, 40.0,
-         "Retries beyond that share that all gateways together may send at once.", 0, most_retries},
+         "Retries beyond that share that all gateways together may send at once.", 0, max_retries},
     };
     schema.insert(schema.end(), own.begin(), own.end());
     return schema;
@@ -215,7 +215,7 @@
             answer->respond(readiness());
             return;
         }
-        take_call(m_state, std::move(request), answer);
+        receive_call(m_state, std::move(request), answer);
     }
 
     http::response readiness() const
@@ -276,7 +276,7 @@
         result.m_on_load = [this](const std::string& upstream, std::uint32_t in_flight) {
             m_other_gateways_load[upstream_id(upstream)] = in_flight;
         };
-        result.m_on_pace = [this](const std::string& upstream, double pace) {
+        result.m_on_slowdown = [this](const std::string& upstream, double pace) {
             m_slowdowns[upstream_id(upstream)] = pace;
         };
         result.m_on_loads_end = [this] { on_loads(); };
@@ -287,10 +287,10 @@
                                  program::now());
             }
         };
-        result.m_on_suspicion = [this](const registrar::noted_suspicion& received) {
+        result.m_on_suspicion = [this](const registrar::pooled_suspicion& received) {
             apply_suspicion(m_state, received, program::now());
         };
-        result.m_on_turns = [this](const std::vector<fingerprint>& granted) {
+        result.m_on_exclusive_grants = [this](const std::vector<fingerprint>& granted) {
             apply_exclusive_grants(m_state, granted, program::now());
         };
         result.m_on_permits = [this](const upstream_id& upstream, std::uint32_t count) {
@@ -307,7 +307,7 @@
                   {{"upstream", known.m_name.value()},
                    {"service", known.m_service},
                    {"state", registry::to_string(known.m_state)},
-                   {"silent", changed.m_is_silent},
+                   {"silent", changed.m_is_unresponsive},
                    {"incarnation", known.m_incarnation.value()},
                    {"number", known.m_number.value()}});
         handle_upstream_change(m_state, changed, now);
@@ -315,7 +315,7 @@
             remove_upstream(m_state, known.m_name, now);
             return;
         }
-        m_state.m_upstreams.put(known, changed.m_is_silent);
+        m_state.m_upstreams.put(known, changed.m_is_unresponsive);
         update_broker(m_state, known.m_name, now);
     }
 
@@ -403,7 +403,7 @@
         m_state.m_feed.tick(loads, {}, now);
         issue_own_shares(limits, now);
         perform(m_state, m_state.m_pools.tick(now), now);
-        for (const auto& group : m_state.m_pools.take_still_groups()) {
+        for (const auto& group : m_state.m_pools.take_stalled_groups()) {
             log_event(log_level::warning, "group_closed",
                       {{"group", group}, {"reason", "its streams had no events"}});
         }
--- a/dewbeam/src/gateway/gateway_state.h
+++ b/dewbeam/src/gateway/gateway_state.h
@@ -15,7 +15,7 @@
 #include "dewbeam/src/gateway/gateway_request.h"
 #include "dewbeam/src/gateway/good_runs.h"
 #include "dewbeam/src/gateway/held_calls.h"
-#include "dewbeam/src/gateway/loss_watch.h"
+#include "dewbeam/src/gateway/lost_attempt_tracker.h"
 #include "dewbeam/src/gateway/upstream_probe.h"
 #include "dewbeam/src/gateway/upstream_table.h"
 #include "dewbeam/src/registrar/registry_feed.h"
@@ -98,8 +98,8 @@
     explicit crash_tracker(boost::asio::io_context& context) : m_probe(context) {}
 
     std::mutex m_mutex;
-    loss_watch m_losses;           ///< guarded by m_mutex
-    loss_watch m_reported_losses;  ///< the same; may be retracted
+    lost_attempt_tracker m_losses;           ///< guarded by m_mutex
+    lost_attempt_tracker m_reported_losses;  ///< the same; may be retracted
     std::map<upstream_incarnation, time_point> m_unresponsive_since;  ///< the same; recent ones
     std::set<upstream_incarnation> m_unreported_incarnations;  ///< the same; not yet reported
     good_runs m_good_runs;                                     ///< the same
--- a/dewbeam/src/gateway/good_runs.cpp
+++ b/dewbeam/src/gateway/good_runs.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 /// Bounds the number of crashes that a content may cause after it ran successfully before.
-constexpr std::uint32_t most_of_one_content = 4;
-constexpr std::size_t most_young = 4096;
+constexpr std::uint32_t max_of_one_content = 4;
+constexpr std::size_t max_young = 4096;
 
 }  // namespace
 
 void note_good_run(good_runs& runs, fingerprint content)
 {
-    if (runs.m_young.size() >= most_young) {
+    if (runs.m_young.size() >= max_young) {
         runs.m_old = std::exchange(runs.m_young, {});
     }
     auto& count = runs.m_young[content];
@@ -24,7 +24,7 @@
         count += before->second;
         runs.m_old.erase(before);
     }
-    count = std::min(count + 1, most_of_one_content);
+    count = std::min(count + 1, max_of_one_content);
 }
 
 bool spend_good_run(good_runs& runs, fingerprint content)
--- a/dewbeam/src/gateway/held_calls.h
+++ b/dewbeam/src/gateway/held_calls.h
@@ -33,7 +33,7 @@
     bool add(held_call& call)
     {
         const std::lock_guard lock(m_mutex);
-        if (m_calls.size() >= most_held) {
+        if (m_calls.size() >= max_held) {
             return false;
         }
         m_calls.push_back(std::move(call));
@@ -68,7 +68,7 @@
     }
 
     /// One of three gateways' share of 1,300 requests per second, times the maximum wait.
-    static constexpr std::size_t most_held = 1000;
+    static constexpr std::size_t max_held = 1000;
 
     std::mutex m_mutex;
     std::vector<held_call> m_calls;
--- a/dewbeam/src/gateway/intake.cpp
+++ b/dewbeam/src/gateway/intake.cpp
@@ -57,7 +57,7 @@
 }
 
 /// Maximum total time that a call may wait, in the queue or for a configuration.
-time_span longest_wait_of(time_span time_limit)
+time_span max_wait_of(time_span time_limit)
 {
     return std::min(longest_wait, std::chrono::duration_cast<time_span>(time_limit * wait_share));
 }
@@ -101,7 +101,7 @@
         std::chrono::duration_cast<time_span>((known.m_deadline - known.m_arrival) * wait_share);
     info.m_prompt_deadline = prompt_deadline(known);
     info.m_wait_deadline = known.m_arrival + std::min(longest_wait, share);
-    info.m_most_pause = known.m_route->m_gap_objective;
+    info.m_max_pause_time = known.m_route->m_gap_objective;
     info.m_most_attempts = known.m_route->m_most_attempts;
     return info;
 }
@@ -122,7 +122,7 @@
 void hold_call(gateway_state& state, held_call subject)
 {
     const auto limit = subject.m_call.m_time_limit.value_or(longest_wait);
-    subject.m_deadline = subject.m_arrival + longest_wait_of(limit);
+    subject.m_deadline = subject.m_arrival + max_wait_of(limit);
     const auto request_id = subject.m_call.m_request_id;
     const auto longest = subject.m_deadline - subject.m_arrival;
     const auto required = subject.m_required_revision;
@@ -213,8 +213,8 @@
 
 }  // namespace
 
-void take_call(gateway_state& state, http::request&& wanted,
-               const std::shared_ptr<http::exchange>& answer)
+void receive_call(gateway_state& state, http::request&& wanted,
+                  const std::shared_ptr<http::exchange>& answer)
 {
     const auto now = program::now();
     auto call = state.m_format.m_read_call(wanted);
--- a/dewbeam/src/gateway/intake.h
+++ b/dewbeam/src/gateway/intake.h
@@ -7,8 +7,8 @@
 namespace dewbeam::gateway {
 
 /// Receives a request: finds its route and workspace, and submits it to the pool of its service.
-void take_call(gateway_state& state, http::request&& wanted,
-               const std::shared_ptr<http::exchange>& answer);
+void receive_call(gateway_state& state, http::request&& wanted,
+                  const std::shared_ptr<http::exchange>& answer);
 
 /// Routes the held calls that waited for the current configuration.
 void release_held_calls(gateway_state& state);
--- a/dewbeam/src/gateway/lateness.cpp
+++ b/dewbeam/src/gateway/lateness.cpp
@@ -30,7 +30,7 @@
         times.m_last_event = now;
         return;
     }
-    auto& longest = is_new_attempt ? times.m_longest_break : times.m_longest_pause;
+    auto& longest = is_new_attempt ? times.m_max_break : times.m_longest_pause;
     longest = std::max(longest, now - times.m_last_event);
     times.m_last_event = now;
 }
@@ -52,11 +52,10 @@
         return retried >= served ? late_reason::retried : late_reason::first_token;
     }
     const auto most = objectives.m_gap_objective;
-    if (most <= time_span::zero() ||
-        std::max(times.m_longest_pause, times.m_longest_break) <= most) {
+    if (most <= time_span::zero() || std::max(times.m_longest_pause, times.m_max_break) <= most) {
         return late_reason::none;
     }
-    return times.m_longest_break > most ? late_reason::resumed : late_reason::paused;
+    return times.m_max_break > most ? late_reason::resumed : late_reason::paused;
 }
 
 }  // namespace dewbeam::gateway
--- a/dewbeam/src/gateway/lateness.h
+++ b/dewbeam/src/gateway/lateness.h
@@ -14,7 +14,7 @@
     time_point m_first_byte{};  ///< to the caller; epoch if none
     time_point m_last_event{};
     time_span m_longest_pause = time_span::zero();  ///< between two events at one upstream
-    time_span m_longest_break = time_span::zero();  ///< between events of two successive attempts
+    time_span m_max_break = time_span::zero();      ///< between events of two successive attempts
     std::uint32_t m_attempts = 0;
 };
 
--- a/dewbeam/src/gateway/loss_watch.cpp
+++ b/dewbeam/src/gateway/lost_attempt_tracker.cpp
@@ -1,4 +1,4 @@
-#include "dewbeam/src/gateway/loss_watch.h"
+#include "dewbeam/src/gateway/lost_attempt_tracker.h"
 
 #include <algorithm>
 
@@ -6,22 +6,24 @@
 
 namespace {
 
-constexpr std::size_t most_of_one_life = 256;
+constexpr std::size_t max_of_one_life = 256;
 
 }  // namespace
 
-void note_loss(loss_watch& watch, const upstream_incarnation& where, const lost_attempt& loss)
+void note_loss(lost_attempt_tracker& watch, const upstream_incarnation& where,
+               const lost_attempt& loss)
 {
     auto& losses = watch.m_losses[where];
     const bool is_known = std::any_of(losses.begin(), losses.end(), [&](const lost_attempt& known) {
         return known.m_content == loss.m_content;
     });
-    if (!is_known && losses.size() < most_of_one_life) {
+    if (!is_known && losses.size() < max_of_one_life) {
         losses.push_back(loss);
     }
 }
 
-std::vector<lost_attempt> take_losses(loss_watch& watch, const upstream_incarnation& where)
+std::vector<lost_attempt> take_losses(lost_attempt_tracker& watch,
+                                      const upstream_incarnation& where)
 {
     const auto place = watch.m_losses.find(where);
     if (place == watch.m_losses.end()) {
@@ -32,7 +34,8 @@
     return result;
 }
 
-void forget_losses(loss_watch& watch, const upstream_incarnation& where, time_point seen_at)
+void forget_losses(lost_attempt_tracker& watch, const upstream_incarnation& where,
+                   time_point seen_at)
 {
     const auto place = watch.m_losses.find(where);
     if (place == watch.m_losses.end()) {
@@ -45,12 +48,12 @@
     }
 }
 
-void forget_upstream(loss_watch& watch, const upstream_id& name)
+void forget_upstream(lost_attempt_tracker& watch, const upstream_id& name)
 {
     std::erase_if(watch.m_losses, [&](const auto& item) { return item.first.m_upstream == name; });
 }
 
-std::vector<upstream_incarnation> earlier_incarnations(const loss_watch& watch,
+std::vector<upstream_incarnation> earlier_incarnations(const lost_attempt_tracker& watch,
                                                        const upstream_incarnation& current)
 {
     std::vector<upstream_incarnation> result;
@@ -62,7 +65,7 @@
     return result;
 }
 
-void expire(loss_watch& watch, time_span kept_for, time_point now)
+void expire(lost_attempt_tracker& watch, time_span kept_for, time_point now)
 {
     for (auto& [process, losses] : watch.m_losses) {
         std::erase_if(losses,
--- a/dewbeam/src/gateway/loss_watch.h
+++ b/dewbeam/src/gateway/lost_attempt_tracker.h
@@ -24,31 +24,34 @@
 struct lost_attempt {
     fingerprint m_content;
     std::string m_pool;
-    std::uint32_t m_order = 0;  ///< of the crash report, if it was a crash; see `quarantine::death`
+    std::uint32_t m_order = 0;  ///< of a crash report; see `quarantine::crash_report`
     time_point m_lost_at{};
 };
 
-struct loss_watch {
+struct lost_attempt_tracker {
     std::map<upstream_incarnation, std::vector<lost_attempt>> m_losses;  ///< no list is empty
 };
 
 /// Records a loss. Further losses of the same content in the same incarnation are ignored.
-void note_loss(loss_watch& watch, const upstream_incarnation& where, const lost_attempt& loss);
+void note_loss(lost_attempt_tracker& watch, const upstream_incarnation& where,
+               const lost_attempt& loss);
 
 /// Removes and returns the losses of an incarnation that has ended.
-std::vector<lost_attempt> take_losses(loss_watch& watch, const upstream_incarnation& where);
+std::vector<lost_attempt> take_losses(lost_attempt_tracker& watch,
+                                      const upstream_incarnation& where);
 
 /// Removes the losses before `seen_at`, a time at which the process was found alive.
-void forget_losses(loss_watch& watch, const upstream_incarnation& where, time_point seen_at);
+void forget_losses(lost_attempt_tracker& watch, const upstream_incarnation& where,
+                   time_point seen_at);
 
 /// Removes the losses of all incarnations of an upstream that left as planned.
-void forget_upstream(loss_watch& watch, const upstream_id& name);
+void forget_upstream(lost_attempt_tracker& watch, const upstream_id& name);
 
 /// Incarnations of an upstream, other than `current`, that have losses.
-std::vector<upstream_incarnation> earlier_incarnations(const loss_watch& watch,
+std::vector<upstream_incarnation> earlier_incarnations(const lost_attempt_tracker& watch,
                                                        const upstream_incarnation& current);
 
 /// Removes losses that are at least `kept_for` old.
-void expire(loss_watch& watch, time_span kept_for, time_point now);
+void expire(lost_attempt_tracker& watch, time_span kept_for, time_point now);
 
 }  // namespace dewbeam::gateway
--- a/dewbeam/src/gateway/upstream_table.cpp
+++ b/dewbeam/src/gateway/upstream_table.cpp
@@ -16,7 +16,7 @@
 constexpr time_span lease_after_answer = std::chrono::seconds(4);
 /// A rank with at least this slowdown delays its whole group with the work it is given.
 constexpr double slow_rank_threshold = 1.5;
-constexpr double most_avoided_share = 0.34;
+constexpr double max_avoided_share = 0.34;
 
 }  // namespace
 
@@ -49,7 +49,7 @@
         place.m_client = std::make_shared<http::client>(m_context, known.m_address, m_options);
     }
     place.m_known = known;
-    place.m_is_silent = is_unresponsive;
+    place.m_is_unresponsive = is_unresponsive;
 }
 
 void upstream_table::remove(const upstream_id& name)
@@ -93,7 +93,7 @@
     const bool is_broken = subject.m_known.m_group && subject.m_known.m_group->m_is_broken;
     result.m_is_stalled = is_broken || subject.m_is_avoided;
     result.m_report.m_skew = subject.m_pace;
-    if (subject.m_is_silent) {
+    if (subject.m_is_unresponsive) {
         result.m_lease_deadline = subject.m_answered_at + lease_after_answer;
     }
     const auto limit = m_limits.m_limits.find(name);
@@ -174,7 +174,7 @@
 {
     const std::lock_guard lock(m_mutex);
     const auto place = m_items.find(name);
-    if (place == m_items.end() || !place->second.m_is_silent) {
+    if (place == m_items.end() || !place->second.m_is_unresponsive) {
         return false;
     }
     const auto& domain = place->second.m_known.m_failure_domain;
@@ -184,8 +184,8 @@
         if (other == name || subject.m_known.m_failure_domain != domain) {
             continue;
         }
-        announcing += subject.m_is_silent ? 0 : 1;
-        silent += subject.m_is_silent && recently_unresponsive.contains(other) ? 1 : 0;
+        announcing += subject.m_is_unresponsive ? 0 : 1;
+        silent += subject.m_is_unresponsive && recently_unresponsive.contains(other) ? 1 : 0;
     }
     return announcing > silent;
 }
@@ -194,7 +194,7 @@
 {
     const std::lock_guard lock(m_mutex);
     const auto place = m_items.find(name);
-    return place != m_items.end() && place->second.m_is_silent;
+    return place != m_items.end() && place->second.m_is_unresponsive;
 }
 
 std::vector<upstream_incarnation> upstream_table::at_address(const endpoint& address) const
@@ -233,7 +233,7 @@
     }
     for (auto& [name, subject] : m_items) {
         const auto& service = subject.m_known.m_service;
-        const auto most = most_avoided_share * static_cast<double>(members[service]);
+        const auto most = max_avoided_share * static_cast<double>(members[service]);
         const bool has_others = static_cast<double>(slow[service]) <= most;
         subject.m_is_avoided = has_others && subject.m_pace >= slow_rank_threshold;
     }
@@ -284,7 +284,7 @@
     const std::lock_guard lock(m_mutex);
     std::vector<upstream_id> result;
     for (const auto& [name, subject] : m_items) {
-        if (subject.m_is_silent) {
+        if (subject.m_is_unresponsive) {
             result.push_back(name);
         }
     }
--- a/dewbeam/src/gateway/upstream_table.h
+++ b/dewbeam/src/gateway/upstream_table.h
@@ -13,7 +13,7 @@
 #include "dewbeam/http"
 #include "dewbeam/permits"
 #include "dewbeam/registry"
-#include "dewbeam/src/gateway/loss_watch.h"
+#include "dewbeam/src/gateway/lost_attempt_tracker.h"
 
 namespace dewbeam::gateway {
 
@@ -106,7 +106,7 @@
     struct item {
         registry::announcement m_known;
         std::shared_ptr<http::client> m_client;
-        bool m_is_silent = false;
+        bool m_is_unresponsive = false;
         std::uint32_t m_in_flight = 0;
         std::uint32_t m_other_gateways_load = 0;
         time_point m_other_gateways_load_at{};
--- a/dewbeam/src/group/content_codec.cpp
+++ b/dewbeam/src/group/content_codec.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /// The map in force, the one before it, and proposals that were not put in force.
-constexpr std::size_t most_known = 4;
+constexpr std::size_t max_known = 4;
 /// In bytes; longer than any map of a group with 256 ranks of 64 layers with 4 experts each.
-constexpr std::size_t longest_content = 1 << 20;
+constexpr std::size_t max_content = 1 << 20;
 
 }  // namespace
 
@@ -45,7 +45,7 @@
             return absl::NotFoundError(
                 "content was packed with a base map that this agent doesn't know");
         }
-        auto content = inflate_text(from.packed_content(), longest_content, dictionary.get());
+        auto content = inflate_text(from.packed_content(), max_content, dictionary.get());
         if (!content.ok()) {
             return content.status();
         }
@@ -61,7 +61,7 @@
         return;
     }
     m_known.emplace_back(map, content);
-    if (m_known.size() > most_known) {
+    if (m_known.size() > max_known) {
         m_known.pop_front();
     }
 }
--- a/dewbeam/src/group/courier.cpp
+++ b/dewbeam/src/group/group_router.cpp
@@ -1,4 +1,4 @@
-#include "dewbeam/src/group/courier.h"
+#include "dewbeam/src/group/group_router.h"
 
 #include <algorithm>
 #include <cmath>
@@ -10,7 +10,7 @@
 namespace {
 
 /// One host can exchange messages with this many others several times a second.
-constexpr std::uint32_t most_ranks_without_relays = 32;
+constexpr std::uint32_t max_ranks_without_relays = 32;
 /// Each retry of a lost relay delays its block until the commands are repeated.
 constexpr time_span lost_relay_retry_delay = std::chrono::seconds(5);
 
@@ -27,8 +27,8 @@
 }
 
 /// Marks a relay as lost if its own answer or those of most of its block are missing.
-void mark_lost_relays(courier& state, const std::vector<outgoing_command>& commands,
-                      deliveries& out, time_point now)
+void mark_lost_relays(group_router& state, const std::vector<outgoing_command>& commands,
+                      routing_result& out, time_point now)
 {
     std::map<std::uint32_t, std::uint32_t> missing;  // by relay
     std::set<std::uint32_t> unresponsive;
@@ -64,7 +64,7 @@
 }
 
 /// A message of a bundle in the form in which it would have been sent individually.
-wire::GroupMessage unbundle(const courier& state, const wire::GroupBundle& bundle,
+wire::GroupMessage unbundle(const group_router& state, const wire::GroupBundle& bundle,
                             const wire::GroupMessage& item)
 {
     auto result = item;
@@ -78,17 +78,17 @@
     return result;
 }
 
-void send_gathered(courier& state, deliveries& out)
+void send_gathered(group_router& state, routing_result& out)
 {
     if (state.m_gathered_reports.messages().empty()) {
         return;
     }
     auto bundle = std::exchange(state.m_gathered_reports, {});
     bundle.set_group(state.m_group);
-    out.m_parcels.push_back({state.m_gathered_coordinator, std::move(bundle)});
+    out.m_outgoing.push_back({state.m_gathered_coordinator, std::move(bundle)});
 }
 
-void gather(courier& state, wire::GroupMessage report, deliveries& out)
+void gather(group_router& state, wire::GroupMessage report, routing_result& out)
 {
     const rank_id coordinator(report.to_rank());
     if (coordinator != state.m_gathered_coordinator) {
@@ -102,18 +102,18 @@
     }
 }
 
-void accept_command(courier& state, wire::GroupMessage message, deliveries& out)
+void accept_command(group_router& state, wire::GroupMessage message, routing_result& out)
 {
-    state.m_reports_through =
+    state.m_report_relay =
         message.has_relay() ? std::optional(rank_id(message.relay())) : std::nullopt;
     out.m_own.push_back(std::move(message));
 }
 
 }  // namespace
 
-courier make_courier(std::string group, rank_id self, std::uint32_t ranks)
+group_router make_group_router(std::string group, rank_id self, std::uint32_t ranks)
 {
-    courier result;
+    group_router result;
     result.m_group = std::move(group);
     result.m_self = self;
     result.m_ranks = ranks;
@@ -123,15 +123,15 @@
 
 std::uint32_t block_size(std::uint32_t ranks)
 {
-    if (ranks <= most_ranks_without_relays) {
+    if (ranks <= max_ranks_without_relays) {
         return std::max(1U, ranks);
     }
     return static_cast<std::uint32_t>(std::ceil(std::sqrt(static_cast<double>(ranks))));
 }
 
-std::uint32_t tellers(std::uint32_t ranks)
+std::uint32_t reporter_count(std::uint32_t ranks)
 {
-    if (ranks <= most_ranks_without_relays) {
+    if (ranks <= max_ranks_without_relays) {
         return ranks;
     }
     const auto size = block_size(ranks);
@@ -146,9 +146,9 @@
     return own_block.m_end - own_block.m_first - (has_coordinator ? 1 : 0);
 }
 
-std::optional<rank_id> relay_of(const courier& state, rank_id rank, time_point now)
+std::optional<rank_id> relay_of(const group_router& state, rank_id rank, time_point now)
 {
-    if (state.m_ranks <= most_ranks_without_relays) {
+    if (state.m_ranks <= max_ranks_without_relays) {
         return std::nullopt;
     }
     const auto own_block = block_of(state.m_ranks, rank);
@@ -163,9 +163,10 @@
     return std::nullopt;
 }
 
-deliveries send_commands(courier& state, std::vector<outgoing_command> commands, time_point now)
+routing_result send_commands(group_router& state, std::vector<outgoing_command> commands,
+                             time_point now)
 {
-    deliveries result;
+    routing_result result;
     // If most ranks are missing, their agents are still starting, their engines are stalled or this
     // host can't reach them. This doesn't show that any one relay is lost, and repeated messages to
     // each rank directly would only load this host. Other ranks are tried as relays instead.
@@ -185,34 +186,34 @@
             add(bundles[*relay], std::move(item.m_message));
         }
         else {
-            result.m_parcels.push_back({rank, std::move(item.m_message)});
+            result.m_outgoing.push_back({rank, std::move(item.m_message)});
         }
     }
     for (auto& [relay, bundle] : bundles) {
         bundle.set_group(state.m_group);
-        result.m_parcels.push_back({relay, std::move(bundle)});
+        result.m_outgoing.push_back({relay, std::move(bundle)});
     }
     return result;
 }
 
-deliveries send_report(courier& state, wire::GroupMessage report)
+routing_result send_report(group_router& state, wire::GroupMessage report)
 {
-    deliveries result;
+    routing_result result;
     const rank_id coordinator(report.to_rank());
-    if (state.m_reports_through == state.m_self && coordinator != state.m_self) {
+    if (state.m_report_relay == state.m_self && coordinator != state.m_self) {
         gather(state, std::move(report), result);
     }
     else {
-        const auto to = coordinator == state.m_self ? coordinator
-                                                    : state.m_reports_through.value_or(coordinator);
-        result.m_parcels.push_back({to, std::move(report)});
+        const auto to =
+            coordinator == state.m_self ? coordinator : state.m_report_relay.value_or(coordinator);
+        result.m_outgoing.push_back({to, std::move(report)});
     }
     return result;
 }
 
-deliveries take(courier& state, wire::GroupMessage message)
+routing_result take(group_router& state, wire::GroupMessage message)
 {
-    deliveries result;
+    routing_result result;
     if (message.to_rank() != state.m_self.value()) {
         if (message.has_report()) {
             gather(state, std::move(message), result);
@@ -227,9 +228,9 @@
     return result;
 }
 
-deliveries take(courier& state, const wire::GroupBundle& bundle)
+routing_result take(group_router& state, const wire::GroupBundle& bundle)
 {
-    deliveries result;
+    routing_result result;
     std::set<std::uint32_t> awaited;
     for (const auto& item : bundle.messages()) {
         auto message = unbundle(state, bundle, item);
@@ -241,7 +242,7 @@
             std::move(own.m_own.begin(), own.m_own.end(), std::back_inserter(result.m_own));
         }
         else if (message.has_command() && message.to_rank() < state.m_ranks) {
-            result.m_parcels.push_back({rank_id(message.to_rank()), std::move(message)});
+            result.m_outgoing.push_back({rank_id(message.to_rank()), std::move(message)});
         }
     }
     if (!awaited.empty()) {
@@ -250,9 +251,9 @@
     return result;
 }
 
-deliveries flush(courier& state)
+routing_result flush(group_router& state)
 {
-    deliveries result;
+    routing_result result;
     send_gathered(state, result);
     return result;
 }
--- a/dewbeam/src/group/courier.h
+++ b/dewbeam/src/group/group_router.h
@@ -32,9 +32,9 @@
 };
 
 /// Result of a step of the group router.
-struct deliveries {
+struct routing_result {
     std::vector<wire::GroupMessage> m_own;  ///< for this rank
-    std::vector<addressed_message> m_parcels;
+    std::vector<addressed_message> m_outgoing;
     std::vector<rank_id> m_lost_relays;  ///< newly lost; not used for a while
 };
 
@@ -46,7 +46,7 @@
 };
 
 /// State of one rank's group router.
-struct courier {
+struct group_router {
     std::string m_group;
     rank_id m_self;
     std::uint32_t m_ranks = 0;
@@ -54,38 +54,39 @@
     std::vector<time_point> m_relay_unused_until;
     std::uint32_t m_relay_offset = 0;  ///< at the coordinator: preferred relay in each block
     /// Receiver of reports: the relay that forwarded the last command; none: the coordinator.
-    std::optional<rank_id> m_reports_through;
+    std::optional<rank_id> m_report_relay;
     std::set<std::uint32_t> m_awaited;     ///< at a relay: ranks whose reports are missing
     wire::GroupBundle m_gathered_reports;  ///< at a relay: reports to be forwarded
     rank_id m_gathered_coordinator;        ///< receiver of the gathered reports
 };
 
 /// The initial state of a router.
-courier make_courier(std::string group, rank_id self, std::uint32_t ranks);
+group_router make_group_router(std::string group, rank_id self, std::uint32_t ranks);
 
 /// The number of ranks in a block; all of them if the group needs no relays.
 std::uint32_t block_size(std::uint32_t ranks);
 
 /// The number of ranks or relays that report to the coordinator.
-std::uint32_t tellers(std::uint32_t ranks);
+std::uint32_t reporter_count(std::uint32_t ranks);
 
 /// The number of ranks in `rank`'s block other than the coordinator.
 std::uint32_t block_followers(std::uint32_t ranks, rank_id rank, rank_id coordinator);
 
 /// The relay for the coordinator's commands to a rank; none: they go directly to the rank.
-std::optional<rank_id> relay_of(const courier& state, rank_id rank, time_point now);
+std::optional<rank_id> relay_of(const group_router& state, rank_id rank, time_point now);
 
 /// Routes commands of the coordinator.
-deliveries send_commands(courier& state, std::vector<outgoing_command> commands, time_point now);
+routing_result send_commands(group_router& state, std::vector<outgoing_command> commands,
+                             time_point now);
 
 /// Routes a report of this rank.
-deliveries send_report(courier& state, wire::GroupMessage report);
+routing_result send_report(group_router& state, wire::GroupMessage report);
 
 /// Handles a received message or bundle.
-deliveries take(courier& state, wire::GroupMessage message);
-deliveries take(courier& state, const wire::GroupBundle& bundle);
+routing_result take(group_router& state, wire::GroupMessage message);
+routing_result take(group_router& state, const wire::GroupBundle& bundle);
 
 /// Sends the gathered reports, even if some are missing. Called periodically.
-deliveries flush(courier& state);
+routing_result flush(group_router& state);
 
 }  // namespace dewbeam::group
--- a/dewbeam/src/group/group_runner.cpp
+++ b/dewbeam/src/group/group_runner.cpp
@@ -13,7 +13,7 @@
 /// If more than one in this many ranks is late, and at least two are, the cause is taken to be this
 /// host. A coordinator that has just started must not substitute for all other ranks, whose
 /// agents may obey another coordinator meanwhile.
-constexpr std::size_t most_late_divisor = 3;
+constexpr std::size_t max_late_divisor = 3;
 
 /// If the group waits for a rank for this long, a warning is logged; it is repeated at this
 /// interval.
@@ -67,8 +67,8 @@
       m_order_port(std::move(orders)),
       m_participant(group_map::start_participant(options.m_participant, now)),
       m_coordinator(group_map::make_coordinator(options.m_coordinator)),
-      m_courier(make_courier(options.m_group, options.m_participant.m_rank,
-                             static_cast<std::uint32_t>(options.m_members.size())))
+      m_group_router(make_group_router(options.m_group, options.m_participant.m_rank,
+                                       static_cast<std::uint32_t>(options.m_members.size())))
 {
 }
 
@@ -105,7 +105,7 @@
         if (m_is_stopped || m_node == nullptr || arrived.group() != m_options.m_group) {
             return;
         }
-        take(group::take(m_courier, arrived), todo, now);
+        take(group::take(m_group_router, arrived), todo, now);
         todo = finish(std::move(todo), now);
     }
     carry_out(todo);
@@ -135,7 +135,7 @@
         end_substitutions(todo, now);
         collect(group_map::tick(m_coordinator, now), todo, now);
         log_missing_ranks(now);
-        post(flush(m_courier));
+        post(flush(m_group_router));
         todo = finish(std::move(todo), now);
     }
     carry_out(todo);
@@ -144,7 +144,7 @@
 /// Excludes this process's loop delay from the timeouts of others, since it read no messages then.
 void group_runner::exclude_loop_delay(time_point now)
 {
-    const auto held_up = take_growth(m_link_held_up, m_node->held_up());
+    const auto held_up = take_growth(m_link_delay, m_node->held_up());
     if (held_up == time_span::zero()) {
         return;
     }
@@ -213,7 +213,7 @@
     if (promised.m_number != 0 && !group_map::coordinator_silent(m_participant, now)) {
         const auto to = promised.m_rank;
         const bool is_self = to == m_options.m_participant.m_rank;
-        return {true, {{to, is_self ? to : m_courier.m_reports_through.value_or(to)}}};
+        return {true, {{to, is_self ? to : m_group_router.m_report_relay.value_or(to)}}};
     }
     coordinator_routes result;
     for (std::uint32_t rank = 0; rank < m_options.m_candidates; ++rank) {
@@ -252,7 +252,7 @@
         return;
     }
     const auto late = group_map::late_ranks(m_coordinator, m_options.m_late_answer_timeout, now);
-    if (late.size() > std::max<std::size_t>(1, m_options.m_members.size() / most_late_divisor)) {
+    if (late.size() > std::max<std::size_t>(1, m_options.m_members.size() / max_late_divisor)) {
         return;  // this host is unreachable or has just started
     }
     for (const auto rank : late) {
@@ -276,7 +276,7 @@
         added.m_port = std::move(port);
         added.m_participant = group_map::start_participant(options, now);
         added.m_since = now;
-        m_courier.m_relay_unused_until[rank.value()] = no_deadline;
+        m_group_router.m_relay_unused_until[rank.value()] = no_deadline;
         log_event(log_level::warning, "rank_stood_in_for",
                   {{"group", m_options.m_group}, {"rank", rank.value()}});
         collect(group_map::tick(added.m_participant, now), rank, todo);
@@ -294,7 +294,7 @@
     std::erase_if(m_substitutes, [&](const auto& item) {
         const bool is_over = !coordinates || m_alive.contains(item.first);
         if (is_over) {
-            m_courier.m_relay_unused_until[item.first.value()] = {};
+            m_group_router.m_relay_unused_until[item.first.value()] = {};
             log_event(log_level::info, "rank_left_to_its_agent", {{"rank", item.first.value()}});
         }
         return is_over;
@@ -332,7 +332,7 @@
                 {write_command(message), message.m_is_repeat, message.m_is_sign_of_life});
         }
     }
-    post(send_commands(m_courier, std::move(commands), now));
+    post(send_commands(m_group_router, std::move(commands), now));
     if (effects.m_change.m_result != group_map::change_result::none) {
         todo.m_change = effects.m_change;
     }
@@ -352,14 +352,14 @@
 {
     auto report = to_wire(m_options.m_group, message);
     if (message.m_from == m_options.m_participant.m_rank) {
-        post(send_report(m_courier, std::move(report)));
+        post(send_report(m_group_router, std::move(report)));
     }
     else {
         m_local_messages.push_back(std::move(report));  // of a substituted rank
     }
 }
 
-void group_runner::post(deliveries&& out)
+void group_runner::post(routing_result&& out)
 {
     for (const auto relay : out.m_lost_relays) {
         log_event(log_level::warning, "relay_lost",
@@ -367,7 +367,7 @@
                    {"rank", relay.value()},
                    {"address", m_options.m_members[relay.value()]}});
     }
-    for (const auto& item : out.m_parcels) {
+    for (const auto& item : out.m_outgoing) {
         post(item);
     }
 }
@@ -392,7 +392,7 @@
     m_node->send(m_options.m_members[item.m_to.value()], std::move(envelope));
 }
 
-void group_runner::take(deliveries&& arrived, work& todo, time_point now)
+void group_runner::take(routing_result&& arrived, work& todo, time_point now)
 {
     for (const auto& message : arrived.m_own) {
         take(message, todo, now);
--- a/dewbeam/src/group/group_runner.h
+++ b/dewbeam/src/group/group_runner.h
@@ -14,8 +14,8 @@
 #include "dewbeam/group_map"
 #include "dewbeam/link"
 #include "dewbeam/src/group/content_codec.h"
-#include "dewbeam/src/group/courier.h"
 #include "dewbeam/src/group/engine_port.h"
+#include "dewbeam/src/group/group_router.h"
 #include "dewbeam/turns"
 
 namespace dewbeam::group {
@@ -130,11 +130,11 @@
     void collect(const group_map::coordinator_effects& effects, work& todo, time_point now);
     wire::GroupMessage write_command(const group_map::command& message);
     void post_report(const group_map::report& message);
-    void post(deliveries&& out);
+    void post(routing_result&& out);
     void post(const addressed_message& item);
     template <class Body>
     void receive_arrived(const Body& arrived, time_point now);
-    void take(deliveries&& arrived, work& todo, time_point now);
+    void take(routing_result&& arrived, work& todo, time_point now);
     void take(const wire::GroupMessage& message, work& todo, time_point now);
     void handle_local_messages(work& todo, time_point now);
     work finish(work todo, time_point now);
@@ -154,9 +154,9 @@
     group_map::coordinator m_coordinator;
     std::map<rank_id, substitute> m_substitutes;
     std::set<rank_id> m_alive;             ///< in contact during a substitution
-    held_up_since m_link_held_up;          ///< as of the last tick
+    held_up_since m_link_delay;            ///< as of the last tick
     time_point m_substitute_not_before{};  ///< set after a loop delay of the link
-    courier m_courier;
+    group_router m_group_router;
     content_codec m_contents;
     time_point m_next_missing_ranks_log{};  ///< earliest time of the next `group_waits` log line
     bool m_has_logged_missing_ranks = false;
--- a/dewbeam/src/quarantine/suspicion.cpp
+++ b/dewbeam/src/quarantine/suspicion.cpp
@@ -12,14 +12,14 @@
 /// Of looking at all records.
 constexpr time_span expiry_interval = std::chrono::seconds(1);
 
-bool is_same_death(const death& a, const death& b)
+bool is_same_death(const crash_report& a, const crash_report& b)
 {
     return a.m_upstream == b.m_upstream && a.m_incarnation == b.m_incarnation;
 }
 
 /// Newest first; a total order, so that what the limit drops doesn't depend on the order of merges.
 /// Where the order of deaths is known, times are left out: each process has its own of them.
-bool is_newer(const death& a, const death& b)
+bool is_newer(const crash_report& a, const crash_report& b)
 {
     const bool has_order = a.m_order != 0 || b.m_order != 0;
     const auto at_a = has_order ? time_point{} : a.m_at;
@@ -28,11 +28,11 @@
            std::tie(a.m_order, at_a, b.m_upstream, b.m_incarnation);
 }
 
-void add_death(suspicion& record, const death& how)
+void add_death(suspicion& record, const crash_report& how)
 {
-    auto& deaths = record.m_deaths;
+    auto& deaths = record.m_crash_reports;
     const auto same = std::find_if(deaths.begin(), deaths.end(),
-                                   [&](const death& d) { return is_same_death(d, how); });
+                                   [&](const crash_report& d) { return is_same_death(d, how); });
     if (same == deaths.end()) {
         deaths.push_back(how);
         return;
@@ -47,8 +47,8 @@
 /// Drops what a clearing wiped out and what is beyond the limit.
 void tidy(suspicion& record)
 {
-    auto& deaths = record.m_deaths;
-    std::erase_if(deaths, [&](const death& d) { return d.m_at <= record.m_cleared_at; });
+    auto& deaths = record.m_crash_reports;
+    std::erase_if(deaths, [&](const crash_report& d) { return d.m_at <= record.m_cleared_at; });
     std::sort(deaths.begin(), deaths.end(), is_newer);
     if (deaths.size() > most_deaths) {
         deaths.resize(most_deaths);
@@ -58,29 +58,30 @@
 time_point last_event(const suspicion& record)
 {
     auto result = record.m_cleared_at;
-    for (const auto& item : record.m_deaths) {
+    for (const auto& item : record.m_crash_reports) {
         result = std::max(result, item.m_at);
     }
     return result;
 }
 
 /// Deaths that count, by their order, with those that are in doubt at `now`, if given.
-std::vector<const death*> counted(const suspicion& record, time_span doubt_for = {},
-                                  time_point now = no_deadline)
+std::vector<const crash_report*> counted(const suspicion& record, time_span doubt_for = {},
+                                         time_point now = no_deadline)
 {
-    std::vector<const death*> result;
-    for (const auto& item : record.m_deaths) {
+    std::vector<const crash_report*> result;
+    for (const auto& item : record.m_crash_reports) {
         const bool is_open = !item.m_is_doubtful || now - doubt_for < item.m_at;
         const bool is_known =
-            item.m_order != 0 && std::any_of(result.begin(), result.end(), [&](const death* other) {
-                return other->m_order == item.m_order;
-            });
+            item.m_order != 0 &&
+            std::any_of(result.begin(), result.end(),
+                        [&](const crash_report* other) { return other->m_order == item.m_order; });
         if (is_open && !item.m_is_outweighed && !is_known) {
             result.push_back(&item);
         }
     }
-    std::stable_sort(result.begin(), result.end(),
-                     [](const death* a, const death* b) { return a->m_order < b->m_order; });
+    std::stable_sort(
+        result.begin(), result.end(),
+        [](const crash_report* a, const crash_report* b) { return a->m_order < b->m_order; });
     return result;
 }
 
@@ -107,7 +108,7 @@
 
 }  // namespace
 
-suspicion note_death(suspicion_table& table, fingerprint content, const death& how)
+suspicion note_crash(suspicion_table& table, fingerprint content, const crash_report& how)
 {
     auto& record = table.m_records[content];
     record.m_content = content;
@@ -138,7 +139,7 @@
     const auto before = own;
     own.m_content = record.m_content;
     own.m_cleared_at = std::max(own.m_cleared_at, record.m_cleared_at);
-    for (const auto& how : record.m_deaths) {
+    for (const auto& how : record.m_crash_reports) {
         add_death(own, how);
     }
     tidy(own);
@@ -160,8 +161,8 @@
         return standing::quarantined;
     }
     const auto open = counted(*record, options.m_doubt_for, now);
-    const bool is_doubted = std::any_of(open.begin(), open.end(),
-                                        [](const death* item) { return item->m_is_doubtful; });
+    const bool is_doubted = std::any_of(
+        open.begin(), open.end(), [](const crash_report* item) { return item->m_is_doubtful; });
     if (is_doubted && open.size() >= options.m_deaths_to_hold) {
         return standing::quarantined;
     }
@@ -178,7 +179,7 @@
 {
     std::uint32_t highest = 0;
     if (const auto* record = find(table, content)) {
-        for (const auto& item : record->m_deaths) {
+        for (const auto& item : record->m_crash_reports) {
             highest = std::max(highest, item.m_order);
         }
     }
@@ -196,7 +197,7 @@
         return std::nullopt;
     }
     const auto first = *deaths.front();
-    for (auto& item : place->second.m_deaths) {
+    for (auto& item : place->second.m_crash_reports) {
         const bool is_beside = first.m_order != 0 && item.m_order == first.m_order;
         item.m_is_outweighed = item.m_is_outweighed || is_beside || is_same_death(item, first);
     }
@@ -212,11 +213,12 @@
     suspicion result;
     result.m_content = record.m_content;
     result.m_cleared_at = record.m_cleared_at;
-    for (const auto& item : record.m_deaths) {
-        const auto same = std::find_if(known->m_deaths.begin(), known->m_deaths.end(),
-                                       [&](const death& d) { return is_same_death(d, item); });
-        if (same == known->m_deaths.end()) {
-            result.m_deaths.push_back(item);
+    for (const auto& item : record.m_crash_reports) {
+        const auto same =
+            std::find_if(known->m_crash_reports.begin(), known->m_crash_reports.end(),
+                         [&](const crash_report& d) { return is_same_death(d, item); });
+        if (same == known->m_crash_reports.end()) {
+            result.m_crash_reports.push_back(item);
             continue;
         }
         auto merged = *same;
@@ -224,11 +226,12 @@
         merged.m_is_doubtful = merged.m_is_doubtful && item.m_is_doubtful;
         merged.m_is_outweighed = merged.m_is_outweighed || item.m_is_outweighed;
         if (merged != *same) {
-            result.m_deaths.push_back(merged);
+            result.m_crash_reports.push_back(merged);
         }
     }
     const bool is_cleared_later = record.m_cleared_at > known->m_cleared_at;
-    return result.m_deaths.empty() && !is_cleared_later ? std::nullopt : std::optional(result);
+    return result.m_crash_reports.empty() && !is_cleared_later ? std::nullopt
+                                                               : std::optional(result);
 }
 
 time_point ends_at(const suspicion_table& table, fingerprint content, time_point now)
@@ -243,7 +246,8 @@
     }
     const auto open = counted(record, options.m_doubt_for, now);
     const auto newest = std::max_element(
-        open.begin(), open.end(), [](const death* a, const death* b) { return a->m_at < b->m_at; });
+        open.begin(), open.end(),
+        [](const crash_report* a, const crash_report* b) { return a->m_at < b->m_at; });
     return (*newest)->m_at + options.m_doubt_for;
 }
 
--- a/dewbeam/src/quarantine/suspicion.h
+++ b/dewbeam/src/quarantine/suspicion.h
@@ -20,7 +20,7 @@
 namespace dewbeam::quarantine {
 
 /// One death of an upstream's process.
-struct death {
+struct crash_report {
     upstream_id m_upstream;
     incarnation m_incarnation;
     time_point m_at{};
@@ -31,14 +31,15 @@
     bool m_is_doubtful = false;    ///< the upstream answers nothing, but may only be cut off
     bool m_is_outweighed = false;  ///< by a run that ended well, or the upstream turned out alive
 
-    friend bool operator==(const death&, const death&) = default;
+    friend bool operator==(const crash_report&, const crash_report&) = default;
 };
 
 /// What is known of one content. Between entries the times go as wall-clock times, which agree to
 /// within seconds; the program converts.
 struct suspicion {
     fingerprint m_content;
-    std::vector<death> m_deaths;  ///< after `m_cleared_at`, the newest first, each once
+    std::vector<crash_report>
+        m_crash_reports;  ///< after `m_cleared_at`, the newest first, each once
     time_point m_cleared_at = time_point::min();  ///< ran to its end alone, or was lifted
 
     friend bool operator==(const suspicion&, const suspicion&) = default;
@@ -71,7 +72,7 @@
 };
 
 /// A death while `content` was running; gives the record to send to the other entries.
-suspicion note_death(suspicion_table& table, fingerprint content, const death& how);
+suspicion note_crash(suspicion_table& table, fingerprint content, const crash_report& how);
 
 /// `content` ran alone to its end, or an operator lifts its quarantine; gives the record to send,
 /// or nothing where the content was not known.
--- a/dewbeam/src/ranks/count_message.cpp
+++ b/dewbeam/src/ranks/count_message.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 /// Expert demand changes within seconds, so reports must come several times a second.
-constexpr time_span shortest_counts_interval = std::chrono::milliseconds(120);
+constexpr time_span min_counts_interval = std::chrono::milliseconds(120);
 /// Longest report interval at which counts are still sent with eight bits each; above it they are
 /// sent with four bits.
-constexpr time_span longest_fine_interval = std::chrono::milliseconds(250);
+constexpr time_span max_fine_interval = std::chrono::milliseconds(250);
 /// Counts may use one part in this many of the coordinator's link. If counts fill the link, all
 /// other messages are delayed and map changes no longer complete.
 constexpr std::int64_t link_parts = 2;
@@ -44,14 +44,14 @@
 
 }  // namespace
 
-report_parameters pace_of(std::size_t reporters, std::size_t counts, byte_count link_rate)
+report_parameters report_parameters_for(std::size_t reporters, std::size_t counts,
+                                        byte_count link_rate)
 {
     constexpr std::uint32_t fine_bits = 8;
     constexpr std::uint32_t coarse_bits = 4;
     const auto fine = interval_with(reporters, counts, fine_bits, link_rate);
-    const auto bits = fine <= longest_fine_interval ? fine_bits : coarse_bits;
-    return {bits,
-            std::max(shortest_counts_interval, interval_with(reporters, counts, bits, link_rate))};
+    const auto bits = fine <= max_fine_interval ? fine_bits : coarse_bits;
+    return {bits, std::max(min_counts_interval, interval_with(reporters, counts, bits, link_rate))};
 }
 
 wire::RankCounts liveness_report(rank_id rank, const rank_counts& counted,
@@ -68,7 +68,7 @@
 }
 
 wire::RankCounts to_wire(rank_id rank, const rank_counts& counted, const rank_holding& holding,
-                         double slowdown, std::uint32_t bits, told_counts& reported)
+                         double slowdown, std::uint32_t bits, reported_counts& reported)
 {
     const auto& counts = counted.m_counts;
     wire::RankCounts result;
--- a/dewbeam/src/ranks/count_message.h
+++ b/dewbeam/src/ranks/count_message.h
@@ -20,11 +20,12 @@
 /// \param reporters ranks or relays that send their counts to the coordinator
 /// \param counts number of counts in each of their messages
 /// \param link_rate bandwidth of a rank's host in bytes per second
-report_parameters pace_of(std::size_t reporters, std::size_t counts, byte_count link_rate);
+report_parameters report_parameters_for(std::size_t reporters, std::size_t counts,
+                                        byte_count link_rate);
 
 /// The report of a rank. `slowdown` is the rank's; a rank above 1 is slow.
 wire::RankCounts to_wire(rank_id rank, const rank_counts& counted, const rank_holding& holding,
-                         double slowdown, std::uint32_t bits, told_counts& reported);
+                         double slowdown, std::uint32_t bits, reported_counts& reported);
 
 /// The report of a rank that has no contact with a coordinator: only that it is alive, and its
 /// current step. No relays are in use then, and the counts of all ranks of a large group would
--- a/dewbeam/src/ranks/count_relay.cpp
+++ b/dewbeam/src/ranks/count_relay.cpp
@@ -10,7 +10,7 @@
 
 /// All ranks report at the coordinator's heartbeat. A sum is sent without the ranks whose reports
 /// take longer than this.
-constexpr time_span longest_gathering = std::chrono::milliseconds(80);
+constexpr time_span max_gathering = std::chrono::milliseconds(80);
 
 }  // namespace
 
@@ -46,7 +46,7 @@
 bool is_due(const count_relay& state, std::size_t expected, time_point now)
 {
     return !state.m_ranks.empty() &&
-           (state.m_ranks.size() >= expected || now >= state.m_started_at + longest_gathering);
+           (state.m_ranks.size() >= expected || now >= state.m_started_at + max_gathering);
 }
 
 std::optional<wire::RankCounts> take_sum(count_relay& state, std::uint32_t bits)
--- a/dewbeam/src/ranks/count_relay.h
+++ b/dewbeam/src/ranks/count_relay.h
@@ -17,7 +17,7 @@
     rank_id m_to;                   ///< the planning rank
     std::uint64_t m_formation = 0;  ///< formation number of the group
     std::vector<std::uint64_t> m_totals;
-    told_counts m_reported;
+    reported_counts m_reported;
     std::uint64_t m_steps = 0;
     std::map<std::uint32_t, wire::RankState> m_ranks;  ///< reported since the last sum
     time_point m_started_at{};                         ///< when the first of them arrived
--- a/dewbeam/src/ranks/count_wire.cpp
+++ b/dewbeam/src/ranks/count_wire.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-std::uint64_t steps_since(told_counts& reported, std::uint64_t formation, std::uint64_t step,
+std::uint64_t steps_since(reported_counts& reported, std::uint64_t formation, std::uint64_t step,
                           const std::vector<std::uint64_t>& counts)
 {
     const bool is_later = reported.m_formation == formation && step > reported.m_step;
@@ -45,7 +45,7 @@
     return result;
 }
 
-packed_counts pack_counts(told_counts& reported, const std::vector<std::uint64_t>& counts,
+packed_counts pack_counts(reported_counts& reported, const std::vector<std::uint64_t>& counts,
                           std::uint32_t bits)
 {
     if (!is_continuation(reported.m_reported, counts)) {
--- a/dewbeam/src/ranks/count_wire.h
+++ b/dewbeam/src/ranks/count_wire.h
@@ -21,7 +21,7 @@
 
 /// What a rank has reported so far. Counts that decrease come from an engine that has restarted;
 /// they become the new baseline.
-struct told_counts {
+struct reported_counts {
     std::vector<std::uint64_t> m_reported;
     std::uint64_t m_formation = 0;  ///< of the group, at the last report
     std::uint64_t m_step = 0;       ///< likewise at the last report
@@ -29,11 +29,11 @@
 
 /// The number of steps that the next report covers, 0 if the counts don't continue the last one.
 /// Records the report as sent.
-std::uint64_t steps_since(told_counts& reported, std::uint64_t formation, std::uint64_t step,
+std::uint64_t steps_since(reported_counts& reported, std::uint64_t formation, std::uint64_t step,
                           const std::vector<std::uint64_t>& counts);
 
 /// Packs the choices since the last report. The first report only sets the baseline.
-packed_counts pack_counts(told_counts& reported, const std::vector<std::uint64_t>& counts,
+packed_counts pack_counts(reported_counts& reported, const std::vector<std::uint64_t>& counts,
                           std::uint32_t bits);
 
 /// Adds a rank's reported counts to `totals`, which is resized to `counts` entries.
--- a/dewbeam/src/ranks/group_timing.cpp
+++ b/dewbeam/src/ranks/group_timing.cpp
@@ -50,10 +50,10 @@
     auto& coordinator = options.m_coordinator;
     coordinator.m_resend_interval = resend_interval;
     const auto ranks = static_cast<std::uint32_t>(options.m_members.size());
-    const auto tellers = group::tellers(ranks);
-    const bool has_relays = tellers < ranks;
+    const auto reporter_count = group::reporter_count(ranks);
+    const bool has_relays = reporter_count < ranks;
     const auto stage_resend =
-        has_relays ? stage_resend_of_relay * tellers : stage_resend_of_rank * ranks;
+        has_relays ? stage_resend_of_relay * reporter_count : stage_resend_of_rank * ranks;
     coordinator.m_stage_resend_interval = std::max<time_span>(resend_interval, stage_resend);
     coordinator.m_stage_limit = stage_limit;
     coordinator.m_arm_limit = arm_limit;
--- a/dewbeam/src/ranks/rank_balancer.cpp
+++ b/dewbeam/src/ranks/rank_balancer.cpp
@@ -14,7 +14,7 @@
 constexpr std::chrono::milliseconds forecast_ahead{300};
 constexpr std::chrono::milliseconds scoring_span{600};
 /// Samples are one or two steps of 75 ms apart, which is too short to measure the step time.
-constexpr std::chrono::milliseconds shortest_measurement{250};
+constexpr std::chrono::milliseconds min_measurement{250};
 /// In a large group, two samples of the same demand differ by much less than this.
 constexpr double jump = 0.1;
 /// The switch itself costs only the round trips that a rank waits for at the step.
@@ -25,20 +25,20 @@
 constexpr double fetch_slowdown = 0.15;
 /// Maximum number of experts of a layer that a rank fetches for one plan. Fetching dominates the
 /// time of a change, so a map is balanced sooner by more and smaller changes.
-constexpr std::uint32_t most_new_in_one_plan = 1;
+constexpr std::uint32_t max_new_in_one_plan = 1;
 /// The ranks report a new map at their next poll after its first step; until then their reports are
 /// older than what this rank knows.
-constexpr std::chrono::seconds longest_new_map_wait{3};
+constexpr std::chrono::seconds max_new_map_wait{3};
 /// Without usable counts for this long, a warning is logged; it is repeated at this interval.
 constexpr std::chrono::seconds missing_counts_log_interval{2};
-constexpr std::size_t most_logged_ranks = 8;
+constexpr std::size_t max_logged_ranks = 8;
 /// A rank that was not allowed to plan for longer than this has not been the coordinator.
-constexpr std::chrono::seconds longest_change{5};
+constexpr std::chrono::seconds max_change{5};
 
 std::string to_text(const std::vector<rank_id>& ranks)
 {
     std::string result;
-    for (std::size_t i = 0; i < std::min(ranks.size(), most_logged_ranks); ++i) {
+    for (std::size_t i = 0; i < std::min(ranks.size(), max_logged_ranks); ++i) {
         result += (i > 0 ? "," : "") + std::to_string(ranks[i].value());
     }
     return result;
@@ -70,7 +70,7 @@
     options.m_forecast.m_scoring = scoring_span;
     options.m_forecast.m_jump = jump;
     options.m_interval = plan_interval;
-    options.m_most_new_per_rank = std::min(facts.m_most_new, most_new_in_one_plan);
+    options.m_most_new_per_rank = std::min(facts.m_most_new, max_new_in_one_plan);
     return options;
 }
 
@@ -150,7 +150,7 @@
 {
     m_measured.m_steps += seen.m_steps;
     m_measured.m_span += seen.m_span;
-    if (m_measured.m_span < shortest_measurement) {
+    if (m_measured.m_span < min_measurement) {
         return;
     }
     auto& planner = *m_planner;
@@ -169,7 +169,7 @@
 /// Logs a warning if no counts arrive: the group then keeps its map, whatever the demand.
 void rank_balancer::log_missing_counts(time_point now)
 {
-    if (now > m_last_may_plan_at + longest_change) {
+    if (now > m_last_may_plan_at + max_change) {
         m_observed_at = now;  // another rank was planning until now
     }
     m_last_may_plan_at = now;
@@ -239,7 +239,7 @@
     const auto last = *std::exchange(m_plan, std::nullopt);
     const bool is_in_force = change.m_result == group_map::change_result::committed;
     experts::settle(*m_planner, last, is_in_force, now);
-    m_map_report_deadline = is_in_force ? now + longest_new_map_wait : now;
+    m_map_report_deadline = is_in_force ? now + max_new_map_wait : now;
     if (is_in_force) {
         m_planner_map_number = change.m_settled.m_number;
         m_changed_formation = m_book.m_formation.value_or(0);
--- a/dewbeam/src/ranks/rank_engine.cpp
+++ b/dewbeam/src/ranks/rank_engine.cpp
@@ -16,7 +16,7 @@
 
 /// An engine next to its agent answers within about 10 ms.
 constexpr std::chrono::milliseconds copy_interval{25};
-constexpr int most_copies = 6;
+constexpr int max_copies = 6;
 
 }  // namespace
 
@@ -196,7 +196,7 @@
     auto exchange = call(pending, index, order, [this, pending](const http::response& reply) {
         after_order(pending, m_format.m_read_order_result(reply.m_status));
     });
-    if (!track_copy(*pending, index, std::move(exchange)) || copy == most_copies) {
+    if (!track_copy(*pending, index, std::move(exchange)) || copy == max_copies) {
         return;
     }
     const std::lock_guard lock(m_mutex);  // timers are not thread-safe
--- a/dewbeam/src/ranks/rank_server.cpp
+++ b/dewbeam/src/ranks/rank_server.cpp
@@ -52,13 +52,13 @@
     schema.insert(schema.end(), listeners.begin(), listeners.end());
     const auto registries = registrar::registry_settings();
     schema.insert(schema.end(), registries.begin(), registries.end());
-    constexpr std::int64_t least_link_rate = 1;
-    constexpr std::int64_t most_link_rate = 1'000'000;
+    constexpr std::int64_t min_link_rate = 1;
+    constexpr std::int64_t max_link_rate = 1'000'000;
     const std::vector<setting> own{
         {"/engine/address", setting_kind::address, nullptr, "Address of this rank's engine."},
         {"/link/rate_mbps", setting_kind::number, 1000.0,
          "What this host's link carries (Mbit/s). Counts of experts take half of it at most.",
-         least_link_rate, most_link_rate},
+         min_link_rate, max_link_rate},
         {"/engine/checks_fencing", setting_kind::boolean, true,
          "Whether engines refuse orders with a fencing number lower than one already seen."},
     };
@@ -154,7 +154,7 @@
             return true;
         };
         result.m_on_load = [](const std::string&, std::uint32_t) {};
-        result.m_on_pace = [](const std::string&, double) {};
+        result.m_on_slowdown = [](const std::string&, double) {};
         result.m_on_loads_end = [] {};
         result.m_on_gateways = [](std::uint32_t) {};
         return result;
@@ -270,17 +270,18 @@
         }
         const auto now = program::now();
         const auto ranks = static_cast<std::uint32_t>(rank_count());
-        const auto tellers = group::tellers(ranks);
-        const bool has_relays = tellers < ranks;
+        const auto reporter_count = group::reporter_count(ranks);
+        const bool has_relays = reporter_count < ranks;
         const auto routes = runner->routes_to_coordinator(now);
         wire::GroupMessage message;
         if (has_relays && !routes.m_has_coordinator) {
-            set_counts_interval(pace_of(ranks, 0, link_rate()).m_interval);
+            set_counts_interval(report_parameters_for(ranks, 0, link_rate()).m_interval);
             *message.mutable_counts() =
                 liveness_report(own_rank(), counts, holding, last_slowdown());
         }
         else {
-            const auto parameters = pace_of(tellers, counts.m_counts.size(), link_rate());
+            const auto parameters =
+                report_parameters_for(reporter_count, counts.m_counts.size(), link_rate());
             set_counts_interval(parameters.m_interval);
             *message.mutable_counts() = to_wire(own_rank(), counts, holding, last_slowdown(),
                                                 parameters.m_bits, m_own_reported);
@@ -482,7 +483,7 @@
     }
 
     /// This rank's slowdown; empty if it isn't slow.
-    [[nodiscard]] registrar::pace_list own_slowdown() const
+    [[nodiscard]] registrar::slowdown_list own_slowdown() const
     {
         constexpr double usual = 1.0;
         const std::lock_guard lock(m_mutex);
@@ -542,9 +543,9 @@
     std::atomic<bool> m_is_started = false;  ///< the link node exists
     std::atomic<bool> m_is_report_requested = false;
     std::atomic<bool> m_are_counts_requested = false;
-    time_point m_next_report{};   ///< used only on the frame's thread
-    std::uint64_t m_runners = 0;  ///< likewise
-    told_counts m_own_reported;   ///< used by one request for counts at a time
+    time_point m_next_report{};      ///< used only on the frame's thread
+    std::uint64_t m_runners = 0;     ///< likewise
+    reported_counts m_own_reported;  ///< used by one request for counts at a time
     mutable std::mutex m_mutex;
     std::map<upstream_id, registry::announcement> m_upstreams;  ///< under m_mutex, like all below
     std::string m_configuration;
--- a/dewbeam/src/registrar/addresses.cpp
+++ b/dewbeam/src/registrar/addresses.cpp
@@ -16,14 +16,14 @@
 
 std::vector<setting> registry_settings()
 {
-    constexpr std::int64_t most_port = 65'535;
+    constexpr std::int64_t max_port = 65'535;
     return {
         {"/registries/seeds", setting_kind::addresses, nlohmann::json::array(),
          "Addresses of some registries; they name all others."},
         {"/registries/link_port", setting_kind::integer, 0,
          "Port of all registries for dewbeam's own processes, where the seeds are addresses for "
          "others; 0: the seeds are link addresses.",
-         0, most_port},
+         0, max_port},
     };
 }
 
--- a/dewbeam/src/registrar/announcement_wire.cpp
+++ b/dewbeam/src/registrar/announcement_wire.cpp
@@ -46,7 +46,7 @@
     to.set_failure_domain(known.m_failure_domain.value());
     to.set_software(known.m_software);
     to.set_slots(known.m_slots);
-    to.set_silent(from.m_is_silent);
+    to.set_silent(from.m_is_unresponsive);
     if (known.m_group) {
         to.set_group(known.m_group->m_group);
         to.set_group_epoch(known.m_group->m_epoch);
--- a/dewbeam/src/registrar/document_fetch.cpp
+++ b/dewbeam/src/registrar/document_fetch.cpp
@@ -9,13 +9,13 @@
 /// All registries apply a document within one heartbeat interval of the log, so the preferred one
 /// normally has it by then.
 constexpr time_span preferred_wait = std::chrono::milliseconds(150);
-constexpr time_span shortest_answer_timeout = std::chrono::seconds(1);
+constexpr time_span min_answer_timeout = std::chrono::seconds(1);
 /// The timeout doubles with each unanswered request, so that retries don't saturate slow links.
-constexpr std::uint32_t most_timeout_doublings = 2;
+constexpr std::uint32_t max_timeout_doublings = 2;
 
 time_span answer_timeout(std::uint32_t unanswered)
 {
-    return shortest_answer_timeout * (1U << std::min(unanswered, most_timeout_doublings));
+    return min_answer_timeout * (1U << std::min(unanswered, max_timeout_doublings));
 }
 
 /// Rendezvous hash: the registry with the lowest value is preferred.
--- a/dewbeam/src/registrar/limit_wire.cpp
+++ b/dewbeam/src/registrar/limit_wire.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Caps received ages so that the subtraction can't overflow. Exceeds any limit's retention.
-constexpr std::uint64_t longest_age_us = 3'600'000'000;
+constexpr std::uint64_t max_age_us = 3'600'000'000;
 
 }  // namespace
 
@@ -23,7 +23,7 @@
 
 permits::rate_limit from_wire(const wire::UpstreamLimit& from, time_point now)
 {
-    const auto age = std::min(from.age_us(), longest_age_us);
+    const auto age = std::min(from.age_us(), max_age_us);
     permits::rate_limit result;
     result.m_upstream = upstream_id(from.upstream());
     result.m_incarnation = incarnation(from.incarnation());
--- a/dewbeam/src/registrar/holds.cpp
+++ b/dewbeam/src/registrar/quorum_waits.cpp
@@ -1,4 +1,4 @@
-#include "dewbeam/src/registrar/holds.h"
+#include "dewbeam/src/registrar/quorum_waits.h"
 
 #include <utility>
 
--- a/dewbeam/src/registrar/registrar_server.cpp
+++ b/dewbeam/src/registrar/registrar_server.cpp
@@ -9,10 +9,10 @@
 #include "dewbeam/link"
 #include "dewbeam/src/registrar/addresses.h"
 #include "dewbeam/src/registrar/announcement_wire.h"
-#include "dewbeam/src/registrar/holds.h"
 #include "dewbeam/src/registrar/limit_wire.h"
-#include "dewbeam/src/registrar/revision_news.h"
-#include "dewbeam/src/registrar/suspicion_board.h"
+#include "dewbeam/src/registrar/quorum_waits.h"
+#include "dewbeam/src/registrar/revision_update.h"
+#include "dewbeam/src/registrar/suspicion_store.h"
 #include "dewbeam/src/registrar/watchers.h"
 #include "dewbeam/turns"
 
@@ -29,7 +29,7 @@
 /// After this long with a quorum and without a pause, missing announcements are attributed to the
 /// upstream. Before that, a network partition or a pause of this process may be the cause.
 constexpr time_span stable_period = std::chrono::seconds(5);
-constexpr time_span longest_tick_gap = std::chrono::milliseconds(700);
+constexpr time_span max_tick_gap = std::chrono::milliseconds(700);
 /// A registry from which no sync arrived for this long is no longer advertised to watchers.
 constexpr time_span advertise_timeout = std::chrono::seconds(10);
 constexpr std::chrono::milliseconds election_span{500};
@@ -39,7 +39,7 @@
 /// Size of the log that triggers a snapshot, and of the entries kept after one. Each entry holds a
 /// complete configuration, 0.2 MB with 500 routes: with 1,024 entries kept, a registry grew to 57
 /// MB in a day of two large configurations and 100 changes.
-constexpr byte_count most_log_bytes{1024L * 1024};
+constexpr byte_count max_log_bytes{1024L * 1024};
 
 /// A registry's view of the replicated log; logged when it changes.
 struct replica_view {
@@ -67,7 +67,7 @@
     schema.insert(schema.end(), listeners.begin(), listeners.end());
     const auto registries = registry_settings();
     schema.insert(schema.end(), registries.begin(), registries.end());
-    constexpr std::int64_t most_losses = 3;
+    constexpr std::int64_t max_losses = 3;
     const std::vector<setting> own{
         {"/data_folder", setting_kind::text, nullptr, "Folder for the durable state."},
         {"/found", setting_kind::boolean, false,
@@ -75,7 +75,7 @@
          "folder joins the log of the others."},
         {"/tolerated_losses", setting_kind::integer, 1,
          "Registries that may be lost at once; twice as many and one vote, where they are there.",
-         0, most_losses},
+         0, max_losses},
     };
     schema.insert(schema.end(), own.begin(), own.end());
     return schema;
@@ -163,9 +163,9 @@
         for (const auto& seed : m_seeds) {
             options.m_seeds.push_back(id_of(seed));
         }
-        options.m_snapshot_bytes = most_log_bytes;
+        options.m_snapshot_bytes = max_log_bytes;
         auto& log = options.m_consensus;
-        log.m_kept.m_bytes = most_log_bytes;
+        log.m_kept.m_bytes = max_log_bytes;
         log.m_election_span = election_span;
         log.m_heartbeat_span = heartbeat_span;
         log.m_may_found = setting_value<bool>(m_settings, "/found");
@@ -404,7 +404,7 @@
             page["upstreams"].push_back({{"name", name.value()},
                                          {"service", item.m_announced.m_service},
                                          {"state", registry::to_string(item.m_announced.m_state)},
-                                         {"silent", item.m_is_silent}});
+                                         {"silent", item.m_is_unresponsive}});
         }
         return http::json_response(200, page.dump());
     }
@@ -467,7 +467,7 @@
                 log_event(log_level::info, "content_reported",
                           {{"pool", received.m_pool},
                            {"content", received.m_record.m_content.value()},
-                           {"deaths", news->m_deaths.size()}});
+                           {"deaths", news->m_crash_reports.size()}});
             }
         }
     }
@@ -643,7 +643,7 @@
         if (m_has_revision_news.exchange(false)) {
             push_revision();
         }
-        const auto held_up = take_growth(m_link_held_up, m_node->held_up());
+        const auto held_up = take_growth(m_link_delay, m_node->held_up());
         quorum_wait_calls calls;
         {
             const std::lock_guard lock(m_mutex);
@@ -687,7 +687,7 @@
 
     void update_stability(const control::runner_status& status, time_point now)
     {
-        const bool was_paused = now - m_last_tick > longest_tick_gap;
+        const bool was_paused = now - m_last_tick > max_tick_gap;
         m_last_tick = now;
         if (was_paused || !status.m_has_quorum) {
             m_stable_since = now;
@@ -748,13 +748,13 @@
     std::vector<std::string> m_seeds;
     std::atomic<bool> m_is_started = false;  ///< all members below are initialized
     std::atomic<bool> m_has_revision_news = false;
-    revision_news m_revision_news;
+    revision_update m_revision_news;
     std::mutex m_mutex;
     registry::table m_registry;        ///< guarded by m_mutex
     watcher_table m_watchers;          ///< the same
     quorum_wait_table m_quorum_waits;  ///< the same
     permits::issuer m_issuer;          ///< the same
-    suspicion_board m_suspicions;      ///< the same
+    suspicion_store m_suspicions;      ///< the same
     std::set<upstream_id> m_renewed;   ///< the same; since the last sync
     std::map<std::string, time_point>
         m_registry_contacts;  ///< the same; last sync by registry address
@@ -763,7 +763,7 @@
     replica_view m_replica_view;   ///< used only on the main loop's thread
     time_point m_next_sync{};      ///< the same
     time_point m_last_tick{};      ///< the same
-    held_up_since m_link_held_up;  ///< the same; as of the last tick
+    held_up_since m_link_delay;    ///< the same; as of the last tick
     time_point m_stable_since{};   ///< the same
     bool m_has_asked_all = false;  ///< the same
     std::unique_ptr<link::node> m_node;
--- a/dewbeam/src/registrar/registry_feed.cpp
+++ b/dewbeam/src/registrar/registry_feed.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 /// Larger than any request body that an operator may submit.
-constexpr std::size_t longest_document = 64UL << 20U;
+constexpr std::size_t max_document = 64UL << 20U;
 /// A registry that didn't answer for this long counts as unresponsive.
 constexpr time_span response_timeout = std::chrono::milliseconds(2500);
 /// Maximum number of registries that a gateway remembers: seven may exist, and replaced ones may
 /// still be listed.
-constexpr std::size_t most_registries = 16;
+constexpr std::size_t max_registries = 16;
 
 /// A limit that upstreams keep repeating is sent again at this interval, so that the registry
 /// doesn't expire it.
@@ -25,12 +25,12 @@
 
 /// The interval grows with the number of gateways, since each registry answers all of them.
 constexpr time_span loads_interval_per_gateway = std::chrono::milliseconds(6);
-constexpr time_span shortest_loads_interval = std::chrono::milliseconds(100);
+constexpr time_span min_loads_interval = std::chrono::milliseconds(100);
 
 /// A registry pushes a change to every follower at once. A watch recovers updates that were lost
 /// and renews the lease. With 150 gateways, each sends every registry two watches a second.
 constexpr time_span update_interval_per_gateway = std::chrono::milliseconds(4);
-constexpr time_span longest_news_interval = std::chrono::milliseconds(500);
+constexpr time_span max_news_interval = std::chrono::milliseconds(500);
 
 /// The document as the operator sent it, decompressed if necessary.
 absl::StatusOr<std::string> content_of(const wire::Revision& received)
@@ -38,7 +38,7 @@
     if (received.packed_content().empty()) {
         return received.content();
     }
-    return inflate_text(received.packed_content(), longest_document);
+    return inflate_text(received.packed_content(), max_document);
 }
 
 }  // namespace
@@ -46,12 +46,12 @@
 time_span update_interval(std::uint32_t gateways, time_span min_interval)
 {
     const time_span wanted = update_interval_per_gateway * gateways;
-    return std::max(min_interval, std::min(wanted, longest_news_interval));
+    return std::max(min_interval, std::min(wanted, max_news_interval));
 }
 
 time_span loads_interval(std::uint32_t gateways, time_span max_interval)
 {
-    const auto wanted = std::max(shortest_loads_interval, loads_interval_per_gateway * gateways);
+    const auto wanted = std::max(min_loads_interval, loads_interval_per_gateway * gateways);
     return std::min<time_span>(wanted, max_interval);
 }
 
@@ -144,7 +144,7 @@
 }
 
 void registry_feed::take_suspicions(source& from, const wire::WatchNews& news, time_point now,
-                                    std::vector<noted_suspicion>& changed)
+                                    std::vector<pooled_suspicion>& changed)
 {
     if (from.m_suspicion_incarnation != news.registry_life()) {
         from.m_suspicion_incarnation = news.registry_life();
@@ -170,7 +170,7 @@
     }
 }
 
-bool registry_feed::report(const noted_suspicion& learned)
+bool registry_feed::report(const pooled_suspicion& learned)
 {
     const std::lock_guard lock(m_mutex);
     if (!registrar::take(m_suspicions, learned)) {
@@ -180,7 +180,8 @@
     return true;
 }
 
-std::optional<noted_suspicion> registry_feed::report_good_run(fingerprint content, time_point now)
+std::optional<pooled_suspicion> registry_feed::report_successful_run(fingerprint content,
+                                                                     time_point now)
 {
     const std::lock_guard lock(m_mutex);
     auto record = outweigh(m_suspicions, content, now);
@@ -245,7 +246,7 @@
     }
 }
 
-void registry_feed::tick(const load_list& loads, const pace_list& paces, time_point now)
+void registry_feed::tick(const load_list& loads, const slowdown_list& paces, time_point now)
 {
     std::vector<std::pair<std::string, wire::Envelope>> due;
     {
@@ -326,7 +327,7 @@
 void registry_feed::learn_registries(const wire::WatchNews& news)
 {
     for (const auto& address : news.registries()) {
-        if (m_sources.size() < most_registries) {
+        if (m_sources.size() < max_registries) {
             m_sources.try_emplace(address);
         }
     }
@@ -372,7 +373,7 @@
 {
     const auto& news = message.watch_news();
     std::vector<registry::record> changed;
-    std::vector<noted_suspicion> suspicions;
+    std::vector<pooled_suspicion> suspicions;
     {
         const std::lock_guard lock(m_mutex);
         const auto place = m_sources.find(from.m_address);
@@ -406,13 +407,14 @@
     }
     if (news.has_loads()) {
         if (m_options.m_is_gateway) {
-            m_handlers.m_on_turns({news.granted_turns().begin(), news.granted_turns().end()});
+            m_handlers.m_on_exclusive_grants(
+                {news.granted_turns().begin(), news.granted_turns().end()});
         }
         for (const auto& [upstream, in_flight] : loads_of_others(news)) {
             m_handlers.m_on_load(upstream, in_flight);
         }
         for (const auto& item : news.paces()) {
-            m_handlers.m_on_pace(item.upstream(), item.pace());
+            m_handlers.m_on_slowdown(item.upstream(), item.pace());
         }
         m_handlers.m_on_loads_end();
         m_handlers.m_on_gateways(news.gateways());
@@ -430,7 +432,7 @@
     record_disconnect(m_document_fetch, disconnected.m_address);
     const bool is_seed =
         std::find(m_seeds.begin(), m_seeds.end(), disconnected.m_address) != m_seeds.end();
-    if (!is_seed && m_sources.size() >= most_registries) {
+    if (!is_seed && m_sources.size() >= max_registries) {
         m_sources.erase(place);  // frees the slot for a replacement
     }
 }
--- a/dewbeam/src/registrar/registry_feed.h
+++ b/dewbeam/src/registrar/registry_feed.h
@@ -19,7 +19,7 @@
 #include "dewbeam/revisions"
 #include "dewbeam/src/registrar/document_fetch.h"
 #include "dewbeam/src/registrar/log_choice.h"
-#include "dewbeam/src/registrar/suspicion_board.h"
+#include "dewbeam/src/registrar/suspicion_store.h"
 
 namespace dewbeam::registrar {
 
@@ -33,7 +33,7 @@
     /// A document newer than the current one arrived. Returns whether it was accepted.
     std::function<bool(const revisions::revision& newer)> m_on_revision;
     std::function<void(const std::string& upstream, std::uint32_t in_flight)> m_on_load;
-    std::function<void(const std::string& upstream, double slowdown)> m_on_pace;
+    std::function<void(const std::string& upstream, double slowdown)> m_on_slowdown;
     std::function<void()> m_on_loads_end;
     std::function<void(std::uint32_t gateways)> m_on_gateways;
     /// Gateways only: a registry reported a rate limit or its end.
@@ -41,10 +41,10 @@
     /// Gateways only: `count` permits were issued for a limited upstream.
     std::function<void(const upstream_id& upstream, std::uint32_t count)> m_on_permits;
     /// Gateways only: new information on a content that may crash its upstreams.
-    std::function<void(const noted_suspicion& incoming)> m_on_suspicion =
-        [](const noted_suspicion&) {};
+    std::function<void(const pooled_suspicion& incoming)> m_on_suspicion =
+        [](const pooled_suspicion&) {};
     /// Gateways only: the suspected contents that this gateway may currently run.
-    std::function<void(const std::vector<fingerprint>& granted)> m_on_turns =
+    std::function<void(const std::vector<fingerprint>& granted)> m_on_exclusive_grants =
         [](const std::vector<fingerprint>&) {};
 };
 
@@ -73,7 +73,7 @@
 using load_list = std::vector<std::pair<std::string, std::uint32_t>>;
 
 /// Slow upstreams, as name and slowdown.
-using pace_list = std::vector<std::pair<std::string, double>>;
+using slowdown_list = std::vector<std::pair<std::string, double>>;
 
 /// The feed. Thread-safe.
 class registry_feed {
@@ -87,11 +87,11 @@
 
     /// Records what this gateway learned about a content. The next tick sends it to all registries.
     /// \returns whether it was new information
-    bool report(const noted_suspicion& learned);
+    bool report(const pooled_suspicion& learned);
 
     /// Records that a run of a content succeeded. If this outweighs a crash report, returns the
     /// record; the next tick sends it to all registries.
-    std::optional<noted_suspicion> report_good_run(fingerprint content, time_point now);
+    std::optional<pooled_suspicion> report_successful_run(fingerprint content, time_point now);
 
     /// Sets the suspected contents whose exclusive grant the next watches request. If the list
     /// changed, the next tick sends a watch to every registry.
@@ -107,7 +107,7 @@
     [[nodiscard]] std::size_t deaths_of(fingerprint content, time_point now) const;
 
     /// Sends the watches that are due.
-    void tick(const load_list& loads, const pace_list& paces, time_point now);
+    void tick(const load_list& loads, const slowdown_list& paces, time_point now);
 
     /// Applies the update in a message; requests a newer document if a request is due.
     void take(const link::peer& from, const wire::Envelope& message, time_point now);
@@ -158,7 +158,7 @@
     void take_limits(const wire::WatchNews& news, time_point now);
     void put_suspicions(wire::Watch& watch, const source& target, time_point now) const;
     void take_suspicions(source& from, const wire::WatchNews& news, time_point now,
-                         std::vector<noted_suspicion>& changed);
+                         std::vector<pooled_suspicion>& changed);
     void schedule_all_watches();
     void request_document(time_point now);
     void take_document(const std::string& from, const wire::Revision& received, time_point now);
@@ -174,11 +174,11 @@
     document_fetch m_document_fetch;
     std::uint32_t m_gateways = 1;  ///< that watch the registries, as reported last
     load_list m_loads;
-    pace_list m_slowdowns;
+    slowdown_list m_slowdowns;
     std::vector<permits::rate_limit> m_limits;
     std::vector<permits::demand> m_demands;
     permits::limit_table m_reported_limits;  ///< as last reported with the loads
-    suspicion_board m_suspicions;
+    suspicion_store m_suspicions;
     std::vector<fingerprint> m_wanted_run_grants;
 };
 
--- a/dewbeam/src/registrar/revision_news.cpp
+++ b/dewbeam/src/registrar/revision_update.cpp
@@ -1,4 +1,4 @@
-#include "dewbeam/src/registrar/revision_news.h"
+#include "dewbeam/src/registrar/revision_update.h"
 
 namespace dewbeam::registrar {
 
@@ -9,8 +9,8 @@
 
 }  // namespace
 
-void revision_news::put(const revisions::revision_store& held, bool is_sure,
-                        const wire::Watch& watch, wire::WatchNews& news)
+void revision_update::put(const revisions::revision_store& held, bool is_sure,
+                          const wire::Watch& watch, wire::WatchNews& news)
 {
     news.set_newest_revision(held.m_number.value());
     news.set_is_sure(is_sure);
@@ -27,7 +27,7 @@
     }
 }
 
-const std::string& revision_news::packed_content(const revisions::revision_store& held)
+const std::string& revision_update::packed_content(const revisions::revision_store& held)
 {
     if (m_packed_revision != held.m_number) {
         m_packed_revision = held.m_number;
--- a/dewbeam/src/registrar/revision_news.h
+++ b/dewbeam/src/registrar/revision_update.h
@@ -12,7 +12,7 @@
 /// Writes the number of the newest revision, and its document if a watch requests it. The
 /// compressed document is cached and shared by all watchers. Not thread-safe for watches that
 /// request the document: answer these on one thread. Others may be answered on any thread.
-class revision_news {
+class revision_update {
 public:
     /// \param is_sure whether this registry is caught up with the log and has a quorum, so that a
     ///     majority of registries knows no newer revision
--- a/dewbeam/src/registrar/suspicion_board.cpp
+++ b/dewbeam/src/registrar/suspicion_store.cpp
@@ -1,4 +1,4 @@
-#include "dewbeam/src/registrar/suspicion_board.h"
+#include "dewbeam/src/registrar/suspicion_store.h"
 
 #include <algorithm>
 
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr std::size_t most_in_message = 128;
+constexpr std::size_t max_in_message = 128;
 /// Caps received ages so that subtractions can't overflow. Exceeds the retention of records.
-constexpr std::uint64_t longest_age_us = 3'600'000'000;
+constexpr std::uint64_t max_age_us = 3'600'000'000;
 /// Several watch intervals of a gateway. A disconnected gateway blocks a content for no longer.
 constexpr time_span run_grant_lease = std::chrono::milliseconds(1500);
 
@@ -20,25 +20,25 @@
 
 time_span from_microseconds(std::uint64_t count)
 {
-    return std::chrono::microseconds(std::min(count, longest_age_us));
+    return std::chrono::microseconds(std::min(count, max_age_us));
 }
 
-void to_wire(const noted_suspicion& source, time_point now, wire::Suspicion& out)
+void to_wire(const pooled_suspicion& source, time_point now, wire::Suspicion& out)
 {
     out.set_pool(source.m_pool);
     out.set_fingerprint(source.m_record.m_content.value());
-    for (const auto& item : source.m_record.m_deaths) {
-        auto& death = *out.add_deaths();
-        death.set_upstream(item.m_upstream.value());
-        death.set_incarnation(item.m_incarnation.value());
-        death.set_age_us(microseconds(now - item.m_at));
-        death.set_order(item.m_order);
-        death.set_doubtful(item.m_is_doubtful);
-        death.set_outweighed(item.m_is_outweighed);
+    for (const auto& item : source.m_record.m_crash_reports) {
+        auto& crash_report = *out.add_deaths();
+        crash_report.set_upstream(item.m_upstream.value());
+        crash_report.set_incarnation(item.m_incarnation.value());
+        crash_report.set_age_us(microseconds(now - item.m_at));
+        crash_report.set_order(item.m_order);
+        crash_report.set_doubtful(item.m_is_doubtful);
+        crash_report.set_outweighed(item.m_is_outweighed);
     }
 }
 
-void mark_changed(suspicion_board& board, fingerprint content, const std::string& pool)
+void mark_changed(suspicion_store& board, fingerprint content, const std::string& pool)
 {
     auto& place = board.m_entries[content];
     place.m_pool = pool;
@@ -46,7 +46,7 @@
 }
 
 /// Removes the entries whose record is no longer in the table.
-void remove_orphaned_entries(suspicion_board& board)
+void remove_orphaned_entries(suspicion_store& board)
 {
     std::erase_if(board.m_entries,
                   [&](const auto& item) { return !board.m_table.m_records.contains(item.first); });
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-std::optional<quarantine::suspicion> take(suspicion_board& board, const noted_suspicion& received)
+std::optional<quarantine::suspicion> take(suspicion_store& board, const pooled_suspicion& received)
 {
     auto news = quarantine::news_of(board.m_table, received.m_record);
     if (!news || !quarantine::merge(board.m_table, *news)) {
@@ -67,7 +67,8 @@
     return news;
 }
 
-std::optional<noted_suspicion> outweigh(suspicion_board& board, fingerprint content, time_point now)
+std::optional<pooled_suspicion> outweigh(suspicion_store& board, fingerprint content,
+                                         time_point now)
 {
     auto record = quarantine::outweigh(board.m_table, content, now);
     if (!record) {
@@ -75,10 +76,10 @@
     }
     const auto pool = board.m_entries[content].m_pool;
     mark_changed(board, content, pool);
-    return noted_suspicion{pool, *std::move(record)};
+    return pooled_suspicion{pool, *std::move(record)};
 }
 
-void expire(suspicion_board& board, time_point now)
+void expire(suspicion_store& board, time_point now)
 {
     quarantine::expire(board.m_table, now);
     if (board.m_entries.size() > board.m_table.m_records.size()) {
@@ -88,7 +89,7 @@
                   [&](const auto& item) { return item.second.m_deadline <= now; });
 }
 
-std::uint64_t put_changes(const suspicion_board& board, std::uint64_t change, time_point now,
+std::uint64_t put_changes(const suspicion_store& board, std::uint64_t change, time_point now,
                           google::protobuf::RepeatedPtrField<wire::Suspicion>& out)
 {
     if (change >= board.m_last_change) {
@@ -101,7 +102,7 @@
         }
     }
     std::sort(due.begin(), due.end());
-    due.resize(std::min(due.size(), most_in_message));
+    due.resize(std::min(due.size(), max_in_message));
     for (const auto& [number, content] : due) {
         const auto& pool = board.m_entries.at(content).m_pool;
         to_wire({pool, board.m_table.m_records.at(content)}, now, *out.Add());
@@ -109,25 +110,25 @@
     return due.empty() ? change : due.back().first;
 }
 
-noted_suspicion from_wire(const wire::Suspicion& source, time_point now)
+pooled_suspicion from_wire(const wire::Suspicion& source, time_point now)
 {
-    noted_suspicion result;
+    pooled_suspicion result;
     result.m_pool = source.pool();
     result.m_record.m_content = fingerprint(source.fingerprint());
     for (const auto& item : source.deaths()) {
-        quarantine::death how;
+        quarantine::crash_report how;
         how.m_upstream = upstream_id(item.upstream());
         how.m_incarnation = incarnation(item.incarnation());
         how.m_at = now - from_microseconds(item.age_us());
         how.m_order = item.order();
         how.m_is_doubtful = item.doubtful();
         how.m_is_outweighed = item.outweighed();
-        result.m_record.m_deaths.push_back(how);
+        result.m_record.m_crash_reports.push_back(how);
     }
     return result;
 }
 
-std::vector<fingerprint> set_wanted_turns(suspicion_board& board, const permits::holder_id& holder,
+std::vector<fingerprint> set_wanted_turns(suspicion_store& board, const permits::holder_id& holder,
                                           const std::vector<fingerprint>& wanted, time_point now)
 {
     std::erase_if(board.m_run_grants, [&](const auto& item) {
--- a/dewbeam/src/registrar/suspicion_board.h
+++ b/dewbeam/src/registrar/suspicion_store.h
@@ -19,7 +19,7 @@
 namespace dewbeam::registrar {
 
 /// A suspicion with its pool.
-struct noted_suspicion {
+struct pooled_suspicion {
     std::string m_pool;
     quarantine::suspicion m_record;
 };
@@ -31,7 +31,7 @@
 };
 
 /// All suspicions and grants that one process knows.
-struct suspicion_board {
+struct suspicion_store {
     /// The pool of a record and the number of its last change.
     struct entry {
         std::string m_pool;
@@ -45,26 +45,26 @@
 };
 
 /// Merges a record; returns the part that was new.
-std::optional<quarantine::suspicion> take(suspicion_board& board, const noted_suspicion& received);
+std::optional<quarantine::suspicion> take(suspicion_store& board, const pooled_suspicion& received);
 
 /// Records that a run of a content succeeded; returns the record if this outweighs a crash report.
-std::optional<noted_suspicion> outweigh(suspicion_board& board, fingerprint content,
-                                        time_point now);
+std::optional<pooled_suspicion> outweigh(suspicion_store& board, fingerprint content,
+                                         time_point now);
 
 /// Removes expired suspicions and grants.
-void expire(suspicion_board& board, time_point now);
+void expire(suspicion_store& board, time_point now);
 
 /// Writes the records that changed after `change`, oldest changes first, up to a limit.
 /// \returns the number of the last change written, or `change`
-std::uint64_t put_changes(const suspicion_board& board, std::uint64_t change, time_point now,
+std::uint64_t put_changes(const suspicion_store& board, std::uint64_t change, time_point now,
                           google::protobuf::RepeatedPtrField<wire::Suspicion>& out);
 
-noted_suspicion from_wire(const wire::Suspicion& source, time_point now);
+pooled_suspicion from_wire(const wire::Suspicion& source, time_point now);
 
 /// Registries only: renews or assigns the grants that a gateway requests, and releases those that
 /// it held and doesn't request any more.
 /// \returns the contents whose grant it holds
-std::vector<fingerprint> set_wanted_turns(suspicion_board& board, const permits::holder_id& holder,
+std::vector<fingerprint> set_wanted_turns(suspicion_store& board, const permits::holder_id& holder,
                                           const std::vector<fingerprint>& wanted, time_point now);
 
 }  // namespace dewbeam::registrar
--- a/dewbeam/src/registry/table.cpp
+++ b/dewbeam/src/registry/table.cpp
@@ -69,10 +69,10 @@
     if (!is_newer(state, known, received, now)) {
         return merge_result::nothing;
     }
-    const bool is_news = differs(known.m_announced, received) || known.m_is_silent;
+    const bool is_news = differs(known.m_announced, received) || known.m_is_unresponsive;
     known.m_announced = received;
     known.m_heard_at = now;
-    known.m_is_silent = false;
+    known.m_is_unresponsive = false;
     return is_news ? mark_changed(state, known) : merge_result::renewed;
 }
 
@@ -88,16 +88,16 @@
     known.m_announced.m_incarnation = std::max(held, ended);
     known.m_announced.m_state = upstream_state::gone;
     known.m_heard_at = now;
-    known.m_is_silent = false;
+    known.m_is_unresponsive = false;
     return mark_changed(state, known);
 }
 
 void note_silence(table& state, time_point now)
 {
     for (auto& [name, known] : state.m_records) {
-        if (!is_gone(known) && !known.m_is_silent &&
+        if (!is_gone(known) && !known.m_is_unresponsive &&
             known.m_heard_at + state.m_options.m_silent_after <= now) {
-            known.m_is_silent = true;
+            known.m_is_unresponsive = true;
             mark_changed(state, known);
         }
     }
@@ -114,10 +114,10 @@
     const bool is_older =
         last.m_incarnation < held.m_incarnation ||
         (last.m_incarnation == held.m_incarnation && last.m_number < held.m_number);
-    if (is_gone(known) || known.m_is_silent || is_older) {
+    if (is_gone(known) || known.m_is_unresponsive || is_older) {
         return merge_result::nothing;
     }
-    known.m_is_silent = true;
+    known.m_is_unresponsive = true;
     return mark_changed(state, known);
 }
 
@@ -128,7 +128,7 @@
         const bool has_ended = is_gone(known);
         const auto retention =
             has_ended ? state.m_options.m_ended_retention : state.m_options.m_silent_retention;
-        return (has_ended || known.m_is_silent) && known.m_heard_at + retention <= now;
+        return (has_ended || known.m_is_unresponsive) && known.m_heard_at + retention <= now;
     });
 }
 
--- a/dewbeam/src/registry/table.h
+++ b/dewbeam/src/registry/table.h
@@ -34,7 +34,7 @@
 struct record {
     announcement m_announced;
     time_point m_heard_at{};
-    bool m_is_silent = false;
+    bool m_is_unresponsive = false;
     std::uint64_t m_change = 0;  ///< number of the last change that is relevant to followers
 };
 
--- a/dewbeam/src/replies/reply_stream.cpp
+++ b/dewbeam/src/replies/reply_stream.cpp
@@ -29,7 +29,7 @@
 
 void store_delivered(reply_stream& state, std::string_view bytes)
 {
-    const auto limit = static_cast<std::size_t>(state.m_options.m_most_kept.m_count);
+    const auto limit = static_cast<std::size_t>(state.m_options.m_max_kept.m_count);
     if (has_all_delivered(state) && state.m_delivered_bytes.size() + bytes.size() <= limit) {
         state.m_delivered_bytes += bytes;
     }
@@ -72,7 +72,7 @@
     }
     state.m_started = true;
     state.m_status = chunk.m_status;
-    out.m_begins = true;
+    out.m_starts_response = true;
     out.m_status = chunk.m_status;
     out.m_headers = std::move(chunk.m_headers);
     return true;
@@ -145,8 +145,8 @@
     state.m_out_of_order_size += size_of(chunk);
     const auto number = chunk.m_number.value();
     state.m_held.emplace(number, std::move(chunk));
-    if (state.m_out_of_order_size > state.m_options.m_most_held ||
-        state.m_held.size() > state.m_options.m_most_chunks_held) {
+    if (state.m_out_of_order_size > state.m_options.m_max_held ||
+        state.m_held.size() > state.m_options.m_max_chunks_held) {
         close(state, out, reply_error::too_much_held);
     }
 }
--- a/dewbeam/src/replies/reply_stream.h
+++ b/dewbeam/src/replies/reply_stream.h
@@ -68,7 +68,7 @@
 
 /// What the entry must send to the caller after a chunk.
 struct delivery {
-    bool m_begins = false;  ///< send the status and headers first
+    bool m_starts_response = false;  ///< send the status and headers first
     std::uint32_t m_status = 0;
     std::vector<reply_header> m_headers;
     std::string m_bytes;      ///< for the caller
@@ -79,9 +79,9 @@
 
 /// Limits of a stream.
 struct reply_options {
-    byte_count m_most_held{1 << 20};  ///< received out of order
-    std::size_t m_most_chunks_held = 1'024;
-    byte_count m_most_kept{1 << 20};  ///< delivered bytes stored for comparison with a replay
+    byte_count m_max_held{1 << 20};  ///< received out of order
+    std::size_t m_max_chunks_held = 1'024;
+    byte_count m_max_kept{1 << 20};  ///< delivered bytes stored for comparison with a replay
 };
 
 /// The state of the response to one caller.
--- a/test/broker_test.cpp
+++ b/test/broker_test.cpp
@@ -136,7 +136,8 @@
 {
     actions result;
     for (const auto end = f.m_now + span; f.m_now < end; f.m_now += milliseconds(500)) {
-        for (const auto& step : upstream_is_silent(f.m_broker, ticket{id}, f.m_now, f.m_random)) {
+        for (const auto& step :
+             note_unresponsive_upstream(f.m_broker, ticket{id}, f.m_now, f.m_random)) {
             result.push_back(step);
         }
     }
@@ -316,7 +317,7 @@
 /// The upstream while it is out of contact.
 upstream_info doubted(upstream_info subject)
 {
-    subject.m_is_doubted = true;
+    subject.m_is_out_of_contact = true;
     return subject;
 }
 
@@ -360,7 +361,7 @@
     f.put(upstream);
     f.put(doubted(upstream));
     EXPECT_TRUE(f.add(make_request(1)).empty());
-    const auto refused = f.pass(f.m_broker.m_options.m_longest_doubt);
+    const auto refused = f.pass(f.m_broker.m_options.m_max_doubt);
     ASSERT_EQ(refused.size(), 1U);
     EXPECT_EQ(refused[0].m_refusal, refusal::no_able_upstream);
     const auto at_once = f.add(make_request(2));
@@ -474,7 +475,7 @@
     poison.m_fingerprint = fingerprint{666};
     f.add(poison);
     EXPECT_TRUE(f.end(1, attempt_end::upstream_died).empty());
-    const auto alone = f.pass(f.m_broker.m_options.m_suspect_pause);
+    const auto alone = f.pass(f.m_broker.m_options.m_suspect_start_delay);
     ASSERT_EQ(alone.size(), 1U);
     EXPECT_TRUE(alone.at(0).m_alone);
     const auto last = f.end(1, attempt_end::upstream_died);
@@ -499,7 +500,7 @@
     quarantine::suspicion record{fingerprint{666}, {{upstream_id("x"), incarnation{1}, f.m_now}}};
     merge_suspicion(f.m_broker, record, f.m_now, f.m_random);
     EXPECT_TRUE(f.add(poison).empty());
-    record.m_deaths.push_back({upstream_id("y"), incarnation{1}, f.m_now + milliseconds(1)});
+    record.m_crash_reports.push_back({upstream_id("y"), incarnation{1}, f.m_now + milliseconds(1)});
     const auto answer = merge_suspicion(f.m_broker, record, f.m_now, f.m_random);
     ASSERT_EQ(answer.size(), 1U);
     EXPECT_EQ(answer.at(0).m_refusal, refusal::quarantined);
@@ -516,7 +517,7 @@
     }
     EXPECT_TRUE(f.end(1, attempt_end::upstream_died).empty());
     EXPECT_TRUE(f.end(2, attempt_end::upstream_died).empty());
-    const auto alone = f.pass(f.m_broker.m_options.m_suspect_pause);
+    const auto alone = f.pass(f.m_broker.m_options.m_suspect_start_delay);
     ASSERT_EQ(alone.size(), 1U);
     EXPECT_TRUE(f.add(make_request(3)).empty());
     const auto next = f.end(alone.at(0).m_ticket.value(), attempt_end::completed);
--- a/test/courier_test.cpp
+++ b/test/courier_test.cpp
@@ -1,11 +1,10 @@
 // Message routing in a large group: the messages that relays save, and the loss of a relay.
-#include "dewbeam/src/group/courier.h"
-
 #include <gtest/gtest.h>
 
 #include <map>
 
 #include "dewbeam/base"
+#include "dewbeam/src/group/group_router.h"
 
 namespace dewbeam::group {
 namespace {
@@ -42,15 +41,15 @@
     explicit simulated_group(std::uint32_t ranks)
     {
         for (std::uint32_t rank = 0; rank < ranks; ++rank) {
-            m_routers.push_back(make_courier("g", rank_id(rank), ranks));
+            m_routers.push_back(make_group_router("g", rank_id(rank), ranks));
         }
     }
 
     /// Delivers all messages, and those that result from them; each rank reports on its command at
     /// once.
-    void deliver(std::uint32_t from, deliveries out)
+    void deliver(std::uint32_t from, routing_result out)
     {
-        for (auto& item : out.m_parcels) {
+        for (auto& item : out.m_outgoing) {
             const auto to = item.m_to.value();
             m_coordinator_message_count += to != from && (to == 0 || from == 0) ? 1 : 0;
             if (to == m_lost) {
@@ -82,7 +81,7 @@
         }
     }
 
-    std::vector<courier> m_routers;
+    std::vector<group_router> m_routers;
     std::uint32_t m_lost = 1'000'000;
     std::map<std::uint32_t, int> m_reports;  ///< by rank
     int m_coordinator_message_count = 0;
@@ -106,7 +105,7 @@
         group.deliver(0, send_commands(group.m_routers[0], commands_to_all(ranks, true), now));
         EXPECT_EQ(group.m_reports.size(), ranks) << "every rank has reported";
         EXPECT_EQ(group.m_contents, static_cast<int>(ranks)) << "every rank has the map";
-        EXPECT_EQ(group.m_coordinator_message_count, static_cast<int>(2 * tellers(ranks)));
+        EXPECT_EQ(group.m_coordinator_message_count, static_cast<int>(2 * reporter_count(ranks)));
     }
 }
 
@@ -147,7 +146,7 @@
     group.deliver(0, send_commands(group.m_routers[0], std::move(repeats), now));
     group.flush_all();
     EXPECT_EQ(group.m_reports.size(), large - 1);
-    EXPECT_LE(group.m_coordinator_message_count, static_cast<int>(4 * tellers(large)));
+    EXPECT_LE(group.m_coordinator_message_count, static_cast<int>(4 * reporter_count(large)));
 }
 
 TEST(courier, a_round_that_nobody_answers_blames_no_relay)
@@ -175,33 +174,33 @@
 
 TEST(courier, reports_that_come_late_go_on_by_themselves)
 {
-    auto relay = make_courier("g", rank_id(12), large);
+    auto relay = make_group_router("g", rank_id(12), large);
     wire::GroupBundle bundle;
     bundle.set_group("g");
     for (const std::uint32_t rank : {12U, 13U, 14U}) {
         *bundle.add_messages() = command_to(rank);
     }
-    EXPECT_EQ(take(relay, bundle).m_parcels.size(), 2U);
+    EXPECT_EQ(take(relay, bundle).m_outgoing.size(), 2U);
     wire::GroupMessage report;
     report.set_from_rank(13);
     report.set_to_rank(0);
     report.mutable_report();
-    EXPECT_TRUE(take(relay, report).m_parcels.empty());
+    EXPECT_TRUE(take(relay, report).m_outgoing.empty());
     const auto out = flush(relay);
-    ASSERT_EQ(out.m_parcels.size(), 1U);
-    EXPECT_EQ(out.m_parcels.front().m_to, rank_id(0));
-    EXPECT_TRUE(flush(relay).m_parcels.empty());
+    ASSERT_EQ(out.m_outgoing.size(), 1U);
+    EXPECT_EQ(out.m_outgoing.front().m_to, rank_id(0));
+    EXPECT_TRUE(flush(relay).m_outgoing.empty());
 }
 
 TEST(courier, messages_for_ranks_that_the_group_lacks_are_dropped)
 {
-    auto relay = make_courier("g", rank_id(12), large);
+    auto relay = make_group_router("g", rank_id(12), large);
     wire::GroupBundle bundle;
     bundle.set_group("g");
     *bundle.add_messages() = command_to(large + 1);
     *bundle.add_messages() = wire::GroupMessage();
     const auto out = take(relay, bundle);
-    EXPECT_TRUE(out.m_parcels.empty());
+    EXPECT_TRUE(out.m_outgoing.empty());
     EXPECT_TRUE(out.m_own.empty());
 }
 
--- a/test/crash_content_test.cpp
+++ b/test/crash_content_test.cpp
@@ -8,14 +8,14 @@
 #include "dewbeam/dispatch"
 #include "dewbeam/quarantine"
 #include "dewbeam/src/gateway/good_runs.h"
-#include "dewbeam/src/gateway/loss_watch.h"
+#include "dewbeam/src/gateway/lost_attempt_tracker.h"
 #include "dewbeam/src/gateway/upstream_table.h"
-#include "dewbeam/src/registrar/suspicion_board.h"
+#include "dewbeam/src/registrar/suspicion_store.h"
 
 namespace dewbeam {
 namespace {
 
-using quarantine::death;
+using quarantine::crash_report;
 using quarantine::standing;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -31,9 +31,9 @@
 }
 
 /// A crash report of a run that started when all crashes of lower order were known.
-death crash_report_of_run(const std::string& upstream, time_point at, std::uint32_t order)
+crash_report crash_report_of_run(const std::string& upstream, time_point at, std::uint32_t order)
 {
-    death crash{upstream_id(upstream), incarnation{1}, at, false};
+    crash_report crash{upstream_id(upstream), incarnation{1}, at, false};
     crash.m_order = order;
     return crash;
 }
@@ -42,13 +42,13 @@
 {
     auto table = make_table();
     for (const auto* name : {"u1", "u2", "u3", "u4"}) {
-        note_death(table, content, crash_report_of_run(name, start + seconds(5), 1));
+        note_crash(table, content, crash_report_of_run(name, start + seconds(5), 1));
     }
     EXPECT_EQ(standing_of(table, content, start + seconds(6)), standing::suspect);
     EXPECT_EQ(deaths_of(table, content, start + seconds(6)), 1U);
-    note_death(table, content,
+    note_crash(table, content,
                crash_report_of_run("u5", start + seconds(8), next_order(table, content)));
-    note_death(table, content,
+    note_crash(table, content,
                crash_report_of_run("u6", start + seconds(10), next_order(table, content)));
     EXPECT_EQ(standing_of(table, content, start + seconds(10)), standing::quarantined);
 }
@@ -58,7 +58,7 @@
     auto table = make_table();
     EXPECT_FALSE(outweigh(table, content, start).has_value());
     for (int i = 1; i <= 3; ++i) {
-        note_death(table, content,
+        note_crash(table, content,
                    crash_report_of_run("u" + std::to_string(i), start + seconds(2 * i),
                                        next_order(table, content)));
     }
@@ -76,17 +76,17 @@
     auto table = make_table();
     auto crash = crash_report_of_run("u1", start + seconds(2), 1);
     crash.m_is_doubtful = true;
-    note_death(table, content, crash);
+    note_crash(table, content, crash);
     EXPECT_EQ(standing_of(table, content, start + seconds(2)), standing::suspect);
     crash = crash_report_of_run("u2", start + seconds(4), 2);
     crash.m_is_doubtful = true;
-    note_death(table, content, crash);
+    note_crash(table, content, crash);
     EXPECT_EQ(standing_of(table, content, start + seconds(4)), standing::quarantined);
     const auto over = ends_at(table, content, start + seconds(4));
     EXPECT_EQ(over, start + seconds(12));
     EXPECT_EQ(standing_of(table, content, over), standing::clear);
     crash.m_is_doubtful = false;  // the second upstream did crash
-    note_death(table, content, crash);
+    note_crash(table, content, crash);
     EXPECT_EQ(standing_of(table, content, over), standing::suspect);
 }
 
@@ -95,11 +95,11 @@
     auto table = make_table();
     auto crash = crash_report_of_run("u1", start + seconds(2), 1);
     crash.m_is_doubtful = true;
-    note_death(table, content, crash);
+    note_crash(table, content, crash);
     ASSERT_TRUE(outweigh(table, content, start + seconds(3)).has_value());
     EXPECT_EQ(standing_of(table, content, start + seconds(3)), standing::clear);
     crash.m_is_doubtful = false;
-    note_death(table, content, crash);
+    note_crash(table, content, crash);
     EXPECT_EQ(standing_of(table, content, start + seconds(3)), standing::clear);
 }
 
@@ -109,17 +109,17 @@
     quarantine::suspicion record{content, {crash_report_of_run("u1", start + seconds(2), 1)}};
     ASSERT_TRUE(news_of(table, record).has_value());
     merge(table, record);
-    record.m_deaths[0].m_at += milliseconds(30);
+    record.m_crash_reports[0].m_at += milliseconds(30);
     EXPECT_FALSE(news_of(table, record).has_value());
-    record.m_deaths[0].m_is_outweighed = true;
+    record.m_crash_reports[0].m_is_outweighed = true;
     const auto changes = news_of(table, record);
     ASSERT_TRUE(changes.has_value());
-    EXPECT_EQ(changes->m_deaths[0].m_at, start + seconds(2));
+    EXPECT_EQ(changes->m_crash_reports[0].m_at, start + seconds(2));
 }
 
 TEST(crash_content, losses_are_known_by_the_life_of_the_upstream)
 {
-    gateway::loss_watch watch;
+    gateway::lost_attempt_tracker watch;
     const gateway::upstream_incarnation first{upstream_id("u"), incarnation{1}};
     const gateway::upstream_incarnation second{upstream_id("u"), incarnation{2}};
     note_loss(watch, first, {content, "p", 1, start + seconds(1)});
@@ -175,7 +175,7 @@
 
 TEST(crash_content, one_gateway_at_a_time_has_the_turn)
 {
-    registrar::suspicion_board board;
+    registrar::suspicion_store board;
     const permits::holder_id a("a");
     const permits::holder_id b("b");
     EXPECT_EQ(set_wanted_turns(board, a, {content}, start).size(), 1U);
@@ -193,7 +193,7 @@
 protected:
     crash_content_turns()
     {
-        m_broker.m_options.m_suspects_take_turns = true;
+        m_broker.m_options.m_suspects_run_exclusively = true;
         m_broker.m_suspicions.m_options.m_deaths_to_quarantine = 3;
         for (const auto* name : {"u1", "u2"}) {
             dispatch::upstream_info info;
@@ -227,7 +227,7 @@
 
     dispatch::actions grant(std::vector<fingerprint> what, bool is_cut_off = false)
     {
-        return set_turns(m_broker, what, is_cut_off, m_now, m_random);
+        return set_exclusive_grants(m_broker, what, is_cut_off, m_now, m_random);
     }
 
     dispatch::broker m_broker;
@@ -256,7 +256,7 @@
     send(1, content);
     ASSERT_EQ(grant({content}).size(), 1U);
     EXPECT_TRUE(send(2, content).empty());
-    suspend_turn(m_broker, content);
+    suspend_exclusive_grant(m_broker, content);
     EXPECT_TRUE(cancel(m_broker, dispatch::ticket(1), m_now, m_random).empty());
     EXPECT_EQ(grant({content}).size(), 1U);
 }
@@ -345,7 +345,7 @@
 
 private:
     struct process {
-        registrar::suspicion_board m_board;
+        registrar::suspicion_store m_board;
         std::vector<std::uint64_t>
             m_delivered_changes;  ///< by index of the peer: last own change delivered to it
         std::uint32_t m_order = 0;
@@ -390,8 +390,8 @@
         self.m_runs_until = {};
         self.m_wants_grant = false;
         m_crash_times.push_back(m_now);
-        death crash{upstream_id("u" + std::to_string(m_crash_times.size())), incarnation{1}, m_now,
-                    false};
+        crash_report crash{upstream_id("u" + std::to_string(m_crash_times.size())), incarnation{1},
+                           m_now, false};
         crash.m_order = self.m_order;
         take(self.m_board, {"p", {content, {crash}}});
         exchange(at);
--- a/test/entry_attempts_test.cpp
+++ b/test/entry_attempts_test.cpp
@@ -144,7 +144,8 @@
         const auto begin = program::now();
         for (int i = 1; i <= 4; ++i) {
             const auto now = begin + i * std::chrono::milliseconds(500);
-            perform(m_state, m_state.m_pools.upstream_is_silent(known.m_pool, known.m_ticket, now),
+            perform(m_state,
+                    m_state.m_pools.note_unresponsive_upstream(known.m_pool, known.m_ticket, now),
                     now);
         }
     }
--- a/test/intake_test.cpp
+++ b/test/intake_test.cpp
@@ -107,7 +107,7 @@
             {"Host", "api.example"}, {"Attempt-Id", "a1"}, {"Authorization", "Bearer " + key}};
         auto answer = std::make_shared<recording_exchange>();
         answer->m_is_gone = is_gone;
-        take_call(m_state, std::move(wanted), answer);
+        receive_call(m_state, std::move(wanted), answer);
         return answer;
     }
 
--- a/test/map_following_test.cpp
+++ b/test/map_following_test.cpp
@@ -20,7 +20,7 @@
 using std::chrono::milliseconds;
 
 /// The shortest time for which demand stays on the sites that were short.
-constexpr time_span shortest_demand = milliseconds(2200);
+constexpr time_span min_demand = milliseconds(2200);
 
 rank_site_figures play(time_span shift_interval, std::uint64_t seed)
 {
@@ -42,9 +42,9 @@
 TEST(map_following, steps_are_short_again_within_half_of_the_time_that_demand_stays)
 {
     for (const std::uint64_t seed : {1, 2, 3}) {
-        const auto figures = play(shortest_demand, seed);
+        const auto figures = play(min_demand, seed);
         ASSERT_GE(figures.m_recovery.size(), 10U);
-        EXPECT_LE(median(figures.m_recovery), shortest_demand / 2) << "seed " << seed;
+        EXPECT_LE(median(figures.m_recovery), min_demand / 2) << "seed " << seed;
         EXPECT_LE(figures.m_long_share, 0.5) << "seed " << seed;
     }
 }
--- a/test/permits_test.cpp
+++ b/test/permits_test.cpp
@@ -81,7 +81,7 @@
     }
 
     /// The most requests sent to the limited upstream in any four seconds.
-    [[nodiscard]] std::size_t most_in_window() const
+    [[nodiscard]] std::size_t max_in_window() const
     {
         std::size_t most = 0;
         for (auto first = m_sent.begin(); first != m_sent.end(); ++first) {
@@ -213,7 +213,7 @@
             deployment subject(gateways, rate, 0.0, 7);
             const double per_second = std::max(60.0, 2.0 * static_cast<double>(gateways));
             subject.run_for(seconds(30), per_second);
-            EXPECT_LE(subject.most_in_window(), allowed(rate)) << gateways << " at " << rate;
+            EXPECT_LE(subject.max_in_window(), allowed(rate)) << gateways << " at " << rate;
             EXPECT_GE(static_cast<double>(subject.m_sent.size()), 0.5 * 30.0 * rate)
                 << gateways << " at " << rate;
         }
@@ -225,7 +225,7 @@
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         deployment subject(42, 2.0, 0.2, seed);
         subject.run_for(seconds(30), 100.0);
-        EXPECT_LE(subject.most_in_window(), allowed(2.0)) << "seed " << seed;
+        EXPECT_LE(subject.max_in_window(), allowed(2.0)) << "seed " << seed;
     }
 }
 
--- a/test/quarantine_test.cpp
+++ b/test/quarantine_test.cpp
@@ -13,7 +13,7 @@
 constexpr fingerprint content{7};
 constexpr time_point start{};
 
-death make_death(const std::string& upstream, time_point at, std::uint64_t life = 1)
+crash_report make_death(const std::string& upstream, time_point at, std::uint64_t life = 1)
 {
     return {upstream_id(upstream), incarnation{life}, at, false};
 }
@@ -22,10 +22,10 @@
 {
     suspicion_table table;
     EXPECT_EQ(standing_of(table, content, start), standing::clear);
-    note_death(table, content, make_death("u1", start));
-    note_death(table, content, make_death("u1", start + seconds(1)));  // the same death again
+    note_crash(table, content, make_death("u1", start));
+    note_crash(table, content, make_death("u1", start + seconds(1)));  // the same death again
     EXPECT_EQ(standing_of(table, content, start + seconds(1)), standing::suspect);
-    note_death(table, content, make_death("u1", start + seconds(2), 2));
+    note_crash(table, content, make_death("u1", start + seconds(2), 2));
     EXPECT_EQ(standing_of(table, content, start + seconds(2)), standing::quarantined);
     const auto end = ends_at(table, content, start + seconds(2));
     EXPECT_EQ(end, start + seconds(2) + minutes(10));
@@ -37,10 +37,10 @@
 TEST(quarantine, running_alone_to_the_end_clears_what_came_before)
 {
     suspicion_table table;
-    note_death(table, content, make_death("u1", start));
+    note_crash(table, content, make_death("u1", start));
     EXPECT_TRUE(clear(table, content, start + seconds(1)).has_value());
     EXPECT_EQ(standing_of(table, content, start + seconds(1)), standing::clear);
-    note_death(table, content, make_death("u2", start + seconds(2)));
+    note_crash(table, content, make_death("u2", start + seconds(2)));
     EXPECT_EQ(standing_of(table, content, start + seconds(2)), standing::suspect);
     EXPECT_FALSE(clear(table, fingerprint{8}, start).has_value());
 }
@@ -50,7 +50,7 @@
     suspicion_table table;
     table.m_options.m_most_records = 10;
     for (std::uint64_t i = 0; i < 100; ++i) {
-        note_death(table, fingerprint{i}, make_death("u", start + seconds(i), i));
+        note_crash(table, fingerprint{i}, make_death("u", start + seconds(i), i));
     }
     EXPECT_EQ(table.m_records.size(), 10U);
     EXPECT_EQ(standing_of(table, fingerprint{99}, start + seconds(99)), standing::suspect);
@@ -63,7 +63,7 @@
     suspicion_table table;
     for (std::uint64_t i = uniform_below(random, 5); i > 0; --i) {
         const auto at = start + seconds(uniform_below(random, 20));
-        result = note_death(table, content,
+        result = note_crash(table, content,
                             make_death("u" + std::to_string(uniform_below(random, 4)), at,
                                        uniform_below(random, 2)));
     }
