--- a/test/ranks_test.cpp
+++ b/test/ranks_test.cpp
@@ -13,7 +13,7 @@
 
 #include "dewbeam/experts"
 #include "dewbeam/http"
-#include "dewbeam/src/group/courier.h"
+#include "dewbeam/src/group/group_router.h"
 #include "dewbeam/src/ranks/count_message.h"
 #include "dewbeam/src/ranks/count_relay.h"
 #include "dewbeam/src/ranks/count_wire.h"
@@ -187,7 +187,7 @@
 TEST(count_wire, what_is_rounded_off_comes_with_a_later_telling)
 {
     for (const std::uint32_t bits : {4U, 8U}) {
-        told_counts reported;
+        reported_counts reported;
         std::vector<std::uint64_t> totals;
         std::vector<std::uint64_t> counts{0, 65'000, 9'000'000};
         ASSERT_TRUE(add_counts(totals, pack_counts(reported, counts, bits), counts.size()));
@@ -210,7 +210,7 @@
 RC_GTEST_PROP(count_wire, no_count_is_off_by_more_than_was_dropped, (std::uint64_t seed))
 {
     random_engine random(seed);
-    told_counts reported;
+    reported_counts reported;
     std::vector<std::uint64_t> totals;
     std::vector<std::uint64_t> counts(31, 1'000);
     const std::uint32_t bits = uniform_below(random, 2) == 0 ? 4 : 8;
@@ -228,7 +228,7 @@
 
 TEST(count_wire, an_engine_that_starts_anew_is_told_from_its_new_beginning)
 {
-    told_counts reported;
+    reported_counts reported;
     std::vector<std::uint64_t> totals;
     for (const std::uint64_t count : {500, 700, 30, 90}) {
         ASSERT_TRUE(add_counts(totals, pack_counts(reported, {count}, 8), 1));
@@ -240,7 +240,7 @@
 {
     constexpr std::size_t ranks = 3;
     const time_point now{std::chrono::seconds(1)};
-    std::vector<told_counts> reported(ranks);
+    std::vector<reported_counts> reported(ranks);
     count_relay relay;
     std::vector<std::uint64_t> total;
     for (const std::uint64_t step : {10, 20, 30}) {
@@ -267,7 +267,7 @@
 TEST(count_relay, counts_that_cannot_be_read_change_nothing)
 {
     const time_point now{std::chrono::seconds(1)};
-    told_counts reported;
+    reported_counts reported;
     count_relay relay;
     auto message = to_wire(rank_id(1), {1, 10, {1, 2}}, {1, 0, {{1}}}, 1.0, 8, reported);
     ASSERT_TRUE(add(relay, rank_id(0), message, now));
@@ -281,7 +281,7 @@
 TEST(count_relay, waits_for_a_late_rank_for_a_moment_only)
 {
     const time_point now{std::chrono::seconds(1)};
-    told_counts reported;
+    reported_counts reported;
     count_relay relay;
     const auto message = to_wire(rank_id(1), {1, 10, {1, 2}}, {1, 0, {{1}}}, 1.0, 8, reported);
     ASSERT_TRUE(add(relay, rank_id(0), message, now));
@@ -291,11 +291,11 @@
 
 TEST(count_pace, counts_leave_half_of_the_link_to_other_messages)
 {
-    for (const std::size_t tellers : {8, 12, 32, 100}) {
+    for (const std::size_t reporter_count : {8, 12, 32, 100}) {
         for (const std::int64_t rate : {250'000, 750'000, 125'000'000}) {
             constexpr std::size_t counts = 4128;
-            const auto parameters = pace_of(tellers, counts, {rate});
-            const auto bytes = static_cast<double>(tellers * counts * parameters.m_bits) / 8;
+            const auto parameters = report_parameters_for(reporter_count, counts, {rate});
+            const auto bytes = static_cast<double>(reporter_count * counts * parameters.m_bits) / 8;
             EXPECT_LE(bytes / to_seconds(parameters.m_interval), static_cast<double>(rate) / 2 + 1);
         }
     }
@@ -320,10 +320,10 @@
         return ranks * envelope.ByteSizeLong() / to_seconds(interval);
     };
     const auto alive = liveness_report(rank_id(7), counted, holding, 1.0);
-    EXPECT_LE(load(alive, pace_of(ranks, 0, link).m_interval), link.m_count / 2);
+    EXPECT_LE(load(alive, report_parameters_for(ranks, 0, link).m_interval), link.m_count / 2);
     // Full reports from every rank, at the rate meant for relays, would exceed the link.
-    const auto relayed = pace_of(group::tellers(ranks), counts, link);
-    told_counts reported;
+    const auto relayed = report_parameters_for(group::reporter_count(ranks), counts, link);
+    reported_counts reported;
     const auto complete = to_wire(rank_id(7), counted, holding, 1.0, relayed.m_bits, reported);
     EXPECT_GT(load(complete, relayed.m_interval), 2 * link.m_count);
 }
--- a/test/registry_test.cpp
+++ b/test/registry_test.cpp
@@ -9,9 +9,9 @@
 #include "dewbeam/revisions"
 #include "dewbeam/src/registrar/addresses.h"
 #include "dewbeam/src/registrar/announcement_wire.h"
-#include "dewbeam/src/registrar/holds.h"
+#include "dewbeam/src/registrar/quorum_waits.h"
 #include "dewbeam/src/registrar/registry_feed.h"
-#include "dewbeam/src/registrar/revision_news.h"
+#include "dewbeam/src/registrar/revision_update.h"
 #include "dewbeam/src/registrar/watchers.h"
 
 namespace dewbeam::registry {
@@ -62,9 +62,9 @@
     table known;
     merge(known, make_announcement(1), {});
     note_silence(known, time_point(milliseconds(4499)));
-    EXPECT_FALSE(known.m_records.begin()->second.m_is_silent);
+    EXPECT_FALSE(known.m_records.begin()->second.m_is_unresponsive);
     note_silence(known, time_point(milliseconds(4500)));
-    EXPECT_TRUE(known.m_records.begin()->second.m_is_silent);
+    EXPECT_TRUE(known.m_records.begin()->second.m_is_unresponsive);
     const auto reported = known.m_last_change;
     EXPECT_EQ(merge(known, make_announcement(2), time_point(seconds(5))), merge_result::changed);
     EXPECT_EQ(changes_since(known, reported).size(), 1U);
@@ -374,7 +374,7 @@
     revisions::apply(held, {revisions::revision_number(3), std::string(5000, 'x')});
     wire::Watch watch;
     watch.set_wants_revision(true);
-    registrar::revision_news subject;
+    registrar::revision_update subject;
     wire::WatchNews plain;
     subject.put(held, true, watch, plain);
     EXPECT_EQ(plain.revision().content(), *held.m_content);
--- a/test/replies_test.cpp
+++ b/test/replies_test.cpp
@@ -29,7 +29,7 @@
     start_attempt(stream, first, continuation::none);
     EXPECT_EQ(accept(stream, make_chunk(first, 1, "b")).m_bytes, "");
     const auto both = accept(stream, make_chunk(first, 0, "a"));
-    EXPECT_TRUE(both.m_begins);
+    EXPECT_TRUE(both.m_starts_response);
     EXPECT_EQ(both.m_bytes, "ab");
     EXPECT_EQ(accept(stream, make_chunk(first, 1, "b")).m_bytes, "");
     EXPECT_EQ(accept(stream, make_chunk(second, 2, "x")).m_bytes, "");
@@ -46,7 +46,7 @@
     EXPECT_EQ(accept(stream, make_chunk(first, 1, "late")).m_bytes, "");
     const auto rest = accept(stream, make_chunk(second, 0, "def", true));
     EXPECT_EQ(rest.m_bytes, "def");
-    EXPECT_FALSE(rest.m_begins);
+    EXPECT_FALSE(rest.m_starts_response);
     EXPECT_TRUE(rest.m_finished);
 }
 
@@ -68,7 +68,7 @@
 TEST(replies, replay_needs_all_that_was_delivered)
 {
     reply_stream stream;
-    stream.m_options.m_most_kept = {4};
+    stream.m_options.m_max_kept = {4};
     start_attempt(stream, first, continuation::none);
     accept(stream, make_chunk(first, 0, "abc"));
     EXPECT_TRUE(can_continue(stream, continuation::replay));
@@ -81,7 +81,7 @@
 TEST(replies, limits_and_contradictions_end_the_stream)
 {
     reply_stream stream;
-    stream.m_options.m_most_chunks_held = 1;
+    stream.m_options.m_max_chunks_held = 1;
     start_attempt(stream, first, continuation::none);
     accept(stream, make_chunk(first, 2, "c"));
     EXPECT_EQ(accept(stream, make_chunk(first, 3, "d")).m_error, reply_error::too_much_held);
--- a/test/revision_spread_test.cpp
+++ b/test/revision_spread_test.cpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "dewbeam/src/registrar/registry_feed.h"
-#include "dewbeam/src/registrar/revision_news.h"
+#include "dewbeam/src/registrar/revision_update.h"
 
 namespace dewbeam::registrar {
 namespace {
@@ -53,8 +53,8 @@
     std::string m_address;
     uplink m_link{registry_rate};
     revisions::revision_store m_held;
-    revision_news m_news;
-    bool m_is_silent = false;  ///< receives everything but answers nothing
+    revision_update m_news;
+    bool m_is_unresponsive = false;  ///< receives everything but answers nothing
     std::uint64_t m_documents = 0;
 };
 
@@ -100,7 +100,7 @@
             handlers.m_on_upstream = [](const registry::record&) {};
             handlers.m_on_revision = [](const revisions::revision&) { return true; };
             handlers.m_on_load = [](const std::string&, std::uint32_t) {};
-            handlers.m_on_pace = [](const std::string&, double) {};
+            handlers.m_on_slowdown = [](const std::string&, double) {};
             handlers.m_on_loads_end = [] {};
             handlers.m_on_gateways = [](std::uint32_t) {};
             m_gateways.back().m_feed =
@@ -158,7 +158,7 @@
     void send_watch(std::size_t gateway, const std::string& address, const wire::Envelope& message)
     {
         for (std::size_t i = 0; i < m_registries.size(); ++i) {
-            if (m_registries[i].m_address == address && !m_registries[i].m_is_silent) {
+            if (m_registries[i].m_address == address && !m_registries[i].m_is_unresponsive) {
                 answer(i, gateway, message.watch());
             }
         }
@@ -234,7 +234,7 @@
     subject.run_for(seconds(2));
     ASSERT_EQ(subject.count_outdated(1), 0U);
     subject.apply_revision(0, 2, document(240, 2));
-    subject.m_registries[0].m_is_silent = true;
+    subject.m_registries[0].m_is_unresponsive = true;
     for (std::size_t i = 1; i < subject.m_registries.size(); ++i) {
         subject.apply_revision(i, 2, document(240, 2));
     }
--- a/test/upstream_health_test.cpp
+++ b/test/upstream_health_test.cpp
@@ -152,11 +152,11 @@
     submit(m_broker, request(1, m_now), m_now, m_random);
     const auto later = m_now + milliseconds(200);
     submit(m_broker, request(2, later), later, m_random);
-    EXPECT_FALSE(is_outrun(m_broker, ticket(1), milliseconds(100)));
+    EXPECT_FALSE(is_overtaken(m_broker, ticket(1), milliseconds(100)));
     first_token(m_broker, ticket(2), later + milliseconds(20));
-    EXPECT_TRUE(is_outrun(m_broker, ticket(1), milliseconds(100)));
-    EXPECT_FALSE(is_outrun(m_broker, ticket(1), milliseconds(300)));
-    EXPECT_FALSE(is_outrun(m_broker, ticket(2), milliseconds(0)));
+    EXPECT_TRUE(is_overtaken(m_broker, ticket(1), milliseconds(100)));
+    EXPECT_FALSE(is_overtaken(m_broker, ticket(1), milliseconds(300)));
+    EXPECT_FALSE(is_overtaken(m_broker, ticket(2), milliseconds(0)));
 }
 
 /// Ranks of two groups, and streams with a max pause of 100 ms between events.
@@ -175,7 +175,7 @@
     request_info stream(std::uint64_t id, time_point now)
     {
         auto result = request(id, now);
-        result.m_most_pause = milliseconds(100);
+        result.m_max_pause_time = milliseconds(100);
         return result;
     }
 };
@@ -186,10 +186,10 @@
     const auto stalled_group = steps.at(0).m_upstream;
     first_token(m_broker, ticket(1), m_now);
     tick(m_broker, m_now + milliseconds(299), m_random);
-    EXPECT_TRUE(take_still_groups(m_broker).empty());
+    EXPECT_TRUE(take_stalled_groups(m_broker).empty());
     const auto later = m_now + milliseconds(300);
     tick(m_broker, later, m_random);
-    EXPECT_EQ(take_still_groups(m_broker), std::vector<std::string>{stalled_group.value()});
+    EXPECT_EQ(take_stalled_groups(m_broker), std::vector<std::string>{stalled_group.value()});
     EXPECT_NE(submit(m_broker, stream(2, later), later, m_random).at(0).m_upstream, stalled_group);
     auto freed = upstream(stalled_group.value().c_str(), 2);
     freed.m_group = stalled_group.value();
@@ -228,15 +228,15 @@
     tick(m_broker, later, m_random);
     submit(m_broker, stream(4, later), later, m_random);
     first_token(m_broker, ticket(4), later);
-    EXPECT_TRUE(is_outrun(m_broker, ticket(at_a[1]), milliseconds(1000)));
+    EXPECT_TRUE(is_overtaken(m_broker, ticket(at_a[1]), milliseconds(1000)));
     next_event(m_broker, ticket(at_a[0]), later);
-    EXPECT_FALSE(is_outrun(m_broker, ticket(at_a[1]), milliseconds(1000)));
+    EXPECT_FALSE(is_overtaken(m_broker, ticket(at_a[1]), milliseconds(1000)));
 }
 
 TEST_F(broker_waits, gateways_share_the_retries)
 {
     set_sharing(m_broker, 4, {0.1, 2.0});
-    EXPECT_EQ(m_broker.m_options.m_entries_sharing, 4U);
+    EXPECT_EQ(m_broker.m_options.m_sharing_entry_count, 4U);
     EXPECT_LE(m_broker.m_retry_budget.m_tokens, 2.0);
 }
 
--- a/test/wire_test.cpp
+++ b/test/wire_test.cpp
@@ -44,8 +44,8 @@
 {
     const auto at = wall_now - 3s;
     const auto record = read_death_at(at.time_since_epoch().count());
-    ASSERT_EQ(record.m_deaths.size(), 1U);
-    EXPECT_EQ(record.m_deaths[0].m_at, now - 3s);
+    ASSERT_EQ(record.m_crash_reports.size(), 1U);
+    EXPECT_EQ(record.m_crash_reports[0].m_at, now - 3s);
     EXPECT_EQ(record.m_cleared_at, now - 3s);
 }
 
@@ -53,9 +53,10 @@
 {
     const auto earliest = read_death_at(std::numeric_limits<std::int64_t>::min());
     const auto latest = read_death_at(std::numeric_limits<std::int64_t>::max());
-    EXPECT_LT(earliest.m_deaths[0].m_at, now);
-    EXPECT_GT(latest.m_deaths[0].m_at, now);
-    EXPECT_GT(latest.m_deaths[0].m_at + std::chrono::hours(24 * 365), latest.m_deaths[0].m_at);
+    EXPECT_LT(earliest.m_crash_reports[0].m_at, now);
+    EXPECT_GT(latest.m_crash_reports[0].m_at, now);
+    EXPECT_GT(latest.m_crash_reports[0].m_at + std::chrono::hours(24 * 365),
+              latest.m_crash_reports[0].m_at);
     EXPECT_LT(earliest.m_cleared_at, latest.m_cleared_at);
 }
 
